--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
@@ -106,12 +106,12 @@
     }
 
     @Override
-    public void ended(EndpointTracker endpoint) {
+    public void incarnationLost(EndpointTracker endpoint) {
       quarantine.ended(endpoint.record(), endpoint.lastByteAt());
     }
 
     @Override
-    public void returned(EndpointRecord record) {
+    public void incarnationReturned(EndpointRecord record) {
       quarantine.returned(record);
     }
   }
@@ -230,7 +230,7 @@
 
   /** Counts a request sent for the first time. */
   public void firstSend(String service) {
-    extraSends.firstSend(service, clock.instant());
+    extraSends.recordFirstSend(service, clock.instant());
   }
 
   /** Returns the entries known, this one included while it takes callers. */
@@ -292,7 +292,7 @@
     List<EndpointTracker> all = endpointsOf(request.service());
     return placer.place(
         request,
-        new Placer.Surroundings(
+        new Placer.Context(
             all.stream().filter(t -> settings.inOwnRegion(t.record().failureDomain())).toList(),
             self.name(),
             near,
@@ -312,7 +312,7 @@
       List<EndpointTracker> endpoints, Set<String> allowedRegions) {
     Instant now = clock.instant();
     return endpoints.stream()
-        .filter(t -> t.yieldsPrefixes(now))
+        .filter(t -> t.isPrefixSource(now))
         .filter(
             t ->
                 allowedRegions.isEmpty()
@@ -381,7 +381,7 @@
 
   /** Notes a request relayed to another region. */
   public void relayed(String region, PlacementRequest request) {
-    regionLoads.sent(region, request, entriesOf(settings.region()).size());
+    regionLoads.recordRelayed(region, request, entriesOf(settings.region()).size());
   }
 
   /**
@@ -393,7 +393,7 @@
     unreachable.failed(entry, now);
     List<EntryInfo> partners = RelayPartners.of(entriesOf(entry.region()), self.name());
     if (unreachable.allFailed(partners, now)) {
-      regionLoads.failed(entry.region(), now);
+      regionLoads.recordUnreachable(entry.region(), now);
       LOG.log(
           System.Logger.Level.INFO,
           "region.unreachable",
@@ -496,7 +496,7 @@
 
   private void regionHeard(FleetMessage.RegionLoad load) {
     Instant now = clock.instant();
-    load.services().forEach(s -> regionLoads.heard(load.region(), s, now));
+    load.services().forEach(s -> regionLoads.update(load.region(), s, now));
   }
 
   private void digestHeard(FleetMessage.NewsDigest digest) {
@@ -603,7 +603,7 @@
                 .map(ServiceSpec::warmup)
                 .orElse(Duration.ZERO);
         if (!warmup.isZero()) {
-          tracker.coldUntil(now.plus(warmup).plus(RETURN_SLACK));
+          tracker.extendColdUntil(now.plus(warmup).plus(RETURN_SLACK));
         }
       }
     }
@@ -661,7 +661,7 @@
 
   /** Takes an endpoint's word that it leaves, which may be here before the control instances'. */
   public void leavingStated(EndpointTracker tracker) {
-    if (tracker.conditions().leave()) {
+    if (tracker.conditions().markDraining()) {
       RosterLog.changed(tracker.record().inState(EndpointState.DRAINING), "its answer");
     }
   }
@@ -669,7 +669,7 @@
   /** Takes an endpoint's wish to get nothing from this entry for a while. */
   public void pauseStated(EndpointTracker tracker, Duration pause) {
     Instant now = clock.instant();
-    boolean inPause = !tracker.conditions().pauseLeft(now).isZero();
+    boolean inPause = !tracker.conditions().remainingPause(now).isZero();
     tracker.conditions().pause(pause, now);
     LOG.log(
         System.Logger.Level.INFO,
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LoadExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LoadExchange.java
@@ -78,7 +78,7 @@
     Instant now = clock.instant();
     List<FleetMessage.EndpointLoad> work =
         trackers.get().stream()
-            .filter(t -> t.running() > 0 || t.rateLimit().toTell(now).isPresent())
+            .filter(t -> t.inFlight() > 0 || t.rateLimit().toTell(now).isPresent())
             .map(t -> workAt(t, now))
             .toList();
     Map<String, Long> uses = quotas.takeUntold();
@@ -95,8 +95,8 @@
   private static FleetMessage.EndpointLoad workAt(EndpointTracker tracker, Instant now) {
     return new FleetMessage.EndpointLoad(
         tracker.record().id(),
-        tracker.running(),
-        tracker.unreadPrompts(now),
+        tracker.inFlight(),
+        tracker.pendingPrompts(now),
         tracker.rateLimit().toTell(now));
   }
 
@@ -148,7 +148,7 @@
         .apply(load.endpoint())
         .ifPresent(
             t -> {
-              t.peerWork(from, load.running(), load.unread(), now);
+              t.updatePeerLoad(from, load.running(), load.unread(), now);
               load.rate().ifPresent(rate -> rateHeard(t, rate, from, now));
             });
   }
@@ -175,9 +175,9 @@
     for (EndpointTracker tracker : trackers.get()) {
       boolean open =
           settings.inOwnRegion(tracker.record().failureDomain())
-              && tracker.takesWork(now)
-              && !tracker.cold(now)
-              && !tracker.suspect(now)
+              && tracker.acceptsRequests(now)
+              && !tracker.isCold(now)
+              && !tracker.isSuspect(now)
               && tracker.withinRate(self.name(), regionEntries, now)
               && !evacuatedDomains.contains(tracker.record().failureDomain());
       if (open) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixExchange.java
@@ -71,7 +71,7 @@
     if (request.sharedTokens() < TOLD_PREFIX_TOKENS) {
       return;
     }
-    tracker.prefixRead(request.sharedParts(), kvCapacityOf(tracker));
+    tracker.recordPrefix(request.sharedParts(), kvCapacityOf(tracker));
     if (due(tracker.record().id(), request.sharedKey())) {
       List<FleetMessage.ReadPart> parts =
           request.sharedParts().stream()
@@ -85,7 +85,7 @@
   void heard(FleetMessage.PrefixRead read) {
     List<PromptPart> parts =
         read.parts().stream().map(p -> new PromptPart(p.id(), p.tokens())).toList();
-    trackerOf.apply(read.endpoint()).ifPresent(t -> t.prefixRead(parts, kvCapacityOf(t)));
+    trackerOf.apply(read.endpoint()).ifPresent(t -> t.recordPrefix(parts, kvCapacityOf(t)));
     due(read.endpoint(), PlacementRequest.keyOf(parts));
   }
 
@@ -126,7 +126,7 @@
   private void ask(EndpointTracker tracker) {
     listing
         .heldAt(tracker.record().address())
-        .onSuccess(parts -> tracker.prefixRead(parts, kvCapacityOf(tracker)))
+        .onSuccess(parts -> tracker.recordPrefix(parts, kvCapacityOf(tracker)))
         .onComplete(answer -> logListed(tracker.record(), answer));
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
@@ -136,9 +136,9 @@
     Placement placement =
         context.node().place(wanted, !relayed, request.handling().regions(), passedOverRegions);
     context.metrics().placements.labelValues(placement.where()).inc();
-    if (placement instanceof Placement.Here here) {
+    if (placement instanceof Placement.ToEndpoint here) {
       sendHere(here, wanted);
-    } else if (placement instanceof Placement.Elsewhere elsewhere) {
+    } else if (placement instanceof Placement.ToRegion elsewhere) {
       relay(elsewhere, wanted);
     } else if (placement instanceof Placement.Refused refused) {
       if (refused.reason() == Placement.Reason.NO_ENDPOINT && worthWaiting()) {
@@ -149,18 +149,18 @@
     }
   }
 
-  private void sendHere(Placement.Here here, PlacementRequest wanted) {
+  private void sendHere(Placement.ToEndpoint here, PlacementRequest wanted) {
     EndpointTracker endpoint = here.endpoint();
-    EndpointTracker.Ticket ticket =
-        endpoint.begin(
+    EndpointTracker.InFlightRequest ticket =
+        endpoint.startRequest(
             wanted,
             here.fetch().map(Placement.PrefixFetch::tokens).orElse(0L),
             context.kvCapacity(wanted.service()),
             context.now());
-    context.node().begun(endpoint, ticket.unreadTokens());
+    context.node().begun(endpoint, ticket.prefillTokens());
     log.placed(
         here,
-        ticket.unreadTokens(),
+        ticket.prefillTokens(),
         targets + 1,
         context.node().routing().revision(),
         context.now());
@@ -175,7 +175,7 @@
         && waited.compareTo(request.handling().objective()) < 0;
   }
 
-  private void relay(Placement.Elsewhere elsewhere, PlacementRequest wanted) {
+  private void relay(Placement.ToRegion elsewhere, PlacementRequest wanted) {
     List<EntryInfo> entries =
         context.node().relayEntriesOf(elsewhere.region()).stream()
             .filter(e -> !passedOver.contains(e.name()))
@@ -296,7 +296,7 @@
                           .upstream
                           .target()
                           .endpoint()
-                          .filter(e -> !e.suspect(context.now()))
+                          .filter(e -> !e.isSuspect(context.now()))
                           .isPresent();
                   if (answersOthers && roundsLeft > 1) {
                     watchSilence(attempt, millis, roundsLeft - 1);
@@ -411,7 +411,7 @@
         return;
       }
       long before = lastEventId.orElse(0);
-      byte[] ready = events.get().take(piece.getBytes());
+      byte[] ready = events.get().append(piece.getBytes());
       lastEventId = events.get().lastId();
       noteEvents(lastEventId.orElse(0) - before);
       if (ready.length > 0) {
@@ -427,7 +427,7 @@
     private void noteEvents(long count) {
       if (count > 0) {
         long tokens = count * context.eventTokens(request.handling().service());
-        upstream.target().ticket().ifPresent(t -> t.events(tokens, context.now()));
+        upstream.target().ticket().ifPresent(t -> t.eventsReceived(tokens, context.now()));
       }
     }
 
@@ -437,7 +437,7 @@
         return;
       }
       if (events.isPresent()) {
-        if (events.get().rest().length > 0) {
+        if (events.get().incompleteEvent().length > 0) {
           broken(this, "ended within an event");
         } else {
           served(upstream, status);
@@ -529,7 +529,7 @@
   /** The target could not be connected to. */
   private void unreachable(UpstreamAttempt attempt, String detail) {
     tryFailed(attempt, "unreachable", detail);
-    attempt.target().endpoint().ifPresent(e -> e.refusedConnection(context.now()));
+    attempt.target().endpoint().ifPresent(e -> e.recordConnectFailure(context.now()));
     attempt.target().entry().ifPresent(context.node()::entryUnreachable);
     passOver(attempt);
     tryElsewhere(detail, true);
@@ -549,9 +549,9 @@
         .ifPresent(
             e -> {
               if (status == WRONG_INSTANCE) {
-                e.wrongInstance();
+                e.markReplaced();
               } else {
-                e.full(context.now());
+                e.markFull(context.now());
               }
             });
     passOver(attempt);
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/RequestLog.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/RequestLog.java
@@ -47,7 +47,7 @@
   }
 
   /** It goes to an endpoint of this region. */
-  void placed(Placement.Here here, long readTokens, int attempt, long revision, Instant now) {
+  void placed(Placement.ToEndpoint here, long readTokens, int attempt, long revision, Instant now) {
     write(
         "request.placed",
         "fingerprint",
@@ -71,7 +71,7 @@
         "rateLimit",
         orNone(here.endpoint().rateLimit().perSecond()),
         "pauseLeftMillis",
-        here.endpoint().conditions().pauseLeft(now).toMillis(),
+        here.endpoint().conditions().remainingPause(now).toMillis(),
         "try",
         attempt,
         "revision",
@@ -79,7 +79,7 @@
   }
 
   /** It goes to an entry of another region. */
-  void relayed(EntryInfo entry, Placement.Elsewhere elsewhere, int attempt, long revision) {
+  void relayed(EntryInfo entry, Placement.ToRegion elsewhere, int attempt, long revision) {
     write(
         "request.placed",
         "fingerprint",
@@ -102,7 +102,7 @@
 
   /** It is turned away. */
   void refused(Placement.Refused refused, Set<String> passedOver, long revision) {
-    Placement.Evidence evidence = refused.evidence();
+    Placement.RefusalDetails evidence = refused.evidence();
     write(
         "request.refused",
         "service",
@@ -110,11 +110,11 @@
         "reason",
         refused.reason(),
         "waitHereMillis",
-        orNone(evidence.waitHereMillis()),
+        orNone(evidence.localWaitMillis()),
         "waitElsewhereMillis",
-        orNone(evidence.waitElsewhereMillis()),
+        orNone(evidence.remoteWaitMillis()),
         "patienceMillis",
-        evidence.patienceMillis(),
+        evidence.maxWaitMillis(),
         "retryAfterMillis",
         refused.retryAfter().toMillis(),
         "passedOver",
@@ -172,7 +172,7 @@
         "running",
         endpoint.map(e -> e.allRunning(now)).orElse(-1),
         "cold",
-        endpoint.map(e -> e.cold(now)).orElse(false));
+        endpoint.map(e -> e.isCold(now)).orElse(false));
   }
 
   /** It has its final answer, or its caller has left. */
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/UpstreamAttempt.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/UpstreamAttempt.java
@@ -80,7 +80,7 @@
       UpstreamConnections connections,
       ForwardRequest request,
       List<Map.Entry<String, String>> extraHeaders) {
-    boolean unproven = target.endpoint().filter(EndpointTracker::unproven).isPresent();
+    boolean unproven = target.endpoint().filter(EndpointTracker::isUnconfirmed).isPresent();
     Future<UpstreamConnections.Lease> lent =
         unproven
             ? connections.acquireFresh(target.address())
@@ -92,7 +92,7 @@
                 acquired.release(Optional.empty());
                 return;
               }
-              if (target.endpoint().filter(e -> !e.takesWork(clock.instant())).isPresent()) {
+              if (target.endpoint().filter(e -> !e.acceptsRequests(clock.instant())).isPresent()) {
                 acquired.release(Optional.empty());
                 withdraw();
                 return;
@@ -104,7 +104,7 @@
 
   private void withdraw() {
     over = true;
-    target.ticket().ifPresent(t -> t.end(Outcome.NOT_RUN, clock.instant()));
+    target.ticket().ifPresent(t -> t.finish(Outcome.NOT_RUN, clock.instant()));
     listener.withdrawn();
   }
 
@@ -150,12 +150,12 @@
       return;
     }
     response = Optional.of(answer);
-    target.ticket().ifPresent(t -> t.bytes(clock.instant()));
+    target.ticket().ifPresent(t -> t.bytesReceived(clock.instant()));
     answer.exceptionHandler(e -> fail(true, Outcome.FAILED, "broke off: " + e.getMessage()));
     answer.handler(
         piece -> {
           if (!over) {
-            target.ticket().ifPresent(t -> t.bytes(clock.instant()));
+            target.ticket().ifPresent(t -> t.bytesReceived(clock.instant()));
             listener.body(piece);
           }
         });
@@ -171,7 +171,7 @@
     boolean notRun = answer.getHeader(names.notRun()) != null || answer.statusCode() == 421;
     Outcome outcome =
         notRun ? Outcome.NOT_RUN : answer.statusCode() >= 500 ? Outcome.FAILED : Outcome.ANSWERED;
-    target.ticket().ifPresent(t -> t.end(outcome, clock.instant()));
+    target.ticket().ifPresent(t -> t.finish(outcome, clock.instant()));
     lease.ifPresent(l -> giveBack(l, answer));
     listener.complete();
   }
@@ -208,7 +208,7 @@
   void cancel(Outcome outcome) {
     if (!over) {
       over = true;
-      target.ticket().ifPresent(t -> t.end(outcome, clock.instant()));
+      target.ticket().ifPresent(t -> t.finish(outcome, clock.instant()));
       lease.ifPresent(UpstreamConnections.Lease::discard);
     }
   }
@@ -218,7 +218,7 @@
       return;
     }
     over = true;
-    target.ticket().ifPresent(t -> t.end(outcome, clock.instant()));
+    target.ticket().ifPresent(t -> t.finish(outcome, clock.instant()));
     lease.ifPresent(UpstreamConnections.Lease::discard);
     listener.failed(sent && written, detail);
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/UpstreamConnections.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/UpstreamConnections.java
@@ -18,7 +18,7 @@
 import java.util.Map;
 import java.util.Optional;
 import org.lacewingcroft.peer.SocketAddresses;
-import org.lacewingcroft.placement.ConnectionKeeping;
+import org.lacewingcroft.placement.KeepAlivePolicy;
 
 /**
  * Connections to endpoints and other entries, one request at a time on each, kept for reuse while
@@ -42,7 +42,7 @@
 
   private final HttpClientAgent client;
   private final InstantSource clock;
-  private final ConnectionKeeping keeping = new ConnectionKeeping();
+  private final KeepAlivePolicy keeping = new KeepAlivePolicy();
   private final Map<String, Deque<Lease>> idle = new HashMap<>();
 
   UpstreamConnections(Vertx vertx, InstantSource clock) {
@@ -111,14 +111,14 @@
     }
 
     private boolean usable(Instant now) {
-      Duration keep = chosenKeep.orElseGet(() -> keeping.keep(address, stated, now));
+      Duration keep = chosenKeep.orElseGet(() -> keeping.idleTimeout(address, stated, now));
       return !closed && restsSince.filter(since -> since.plus(keep).isAfter(now)).isPresent();
     }
 
     /** Notes that it was reset before any byte of an answer. */
     void resetUnanswered() {
       Instant now = clock.instant();
-      restedFor.ifPresent(rested -> keeping.reset(address, rested, now));
+      restedFor.ifPresent(rested -> keeping.recordReset(address, rested, now));
     }
 
     /** Closes it, which also cancels the request on it. */
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/UpstreamTarget.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/UpstreamTarget.java
@@ -18,12 +18,12 @@
 record UpstreamTarget(
     String name,
     String address,
-    Optional<EndpointTracker.Ticket> ticket,
+    Optional<EndpointTracker.InFlightRequest> ticket,
     Optional<EndpointTracker> endpoint,
     Optional<EntryInfo> entry,
     Optional<Placement.PrefixFetch> fetch) {
 
-  static UpstreamTarget endpoint(Placement.Here here, EndpointTracker.Ticket ticket) {
+  static UpstreamTarget endpoint(Placement.ToEndpoint here, EndpointTracker.InFlightRequest ticket) {
     EndpointTracker endpoint = here.endpoint();
     return new UpstreamTarget(
         endpoint.record().id(),
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/LargeRegionTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/LargeRegionTest.java
@@ -92,7 +92,7 @@
       harness.onContext(
           () -> {
             EndpointTracker tracker = endpoint(entry);
-            tracker.begin(request, 0, KV_TOKENS, Instant.now());
+            tracker.startRequest(request, 0, KV_TOKENS, Instant.now());
             entry.node().begun(tracker, request.promptTokens());
             entry.node().prefixRead(tracker, request);
             return Future.succeededFuture();
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/StatedConditions.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/AdvertisedConditions.java
@@ -10,7 +10,7 @@
  *
  * <p>Not thread-safe: owned by the entry's event loop.
  */
-public final class StatedConditions {
+public final class AdvertisedConditions {
   private final EndpointRateLimit rateLimit = new EndpointRateLimit();
   private Instant pausedUntil = Instant.EPOCH;
   private boolean leaving;
@@ -25,14 +25,14 @@
    *
    * @return whether this entry did not know
    */
-  public boolean leave() {
+  public boolean markDraining() {
     boolean news = !leaving;
     leaving = true;
     return news;
   }
 
   /** Returns whether the endpoint leaves; an incarnation that leaves does not come back. */
-  public boolean isLeaving() {
+  public boolean isDraining() {
     return leaving;
   }
 
@@ -43,7 +43,7 @@
   }
 
   /** Returns how much longer the endpoint wants nothing from this entry, zero if it takes work. */
-  public Duration pauseLeft(Instant now) {
+  public Duration remainingPause(Instant now) {
     return pausedUntil.isAfter(now) ? Duration.between(now, pausedUntil) : Duration.ZERO;
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/EndpointTracker.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/EndpointTracker.java
@@ -68,11 +68,11 @@
   private int running;
   private final ReadingQueue reading = new ReadingQueue();
   private final Map<String, PeerWork> peers = new HashMap<>();
-  private final List<Ticket> open = new ArrayList<>();
+  private final List<InFlightRequest> open = new ArrayList<>();
   private final PrefixMemory prefixes = new PrefixMemory();
   private final PrefixMemory readPrefixes = new PrefixMemory();
   private final TokenPace pace = new TokenPace();
-  private final StatedConditions conditions;
+  private final AdvertisedConditions conditions;
 
   /**
    * Reading speed by priority. It is measured apart, because more urgent requests that arrive later
@@ -95,7 +95,7 @@
   private record PeerWork(int running, Instant at) {}
 
   /** One request in flight at the endpoint. */
-  public final class Ticket {
+  public final class InFlightRequest {
     private final ReadingQueue.Unread prompt;
     private final double aheadTokens;
     private final Instant sentAt;
@@ -103,7 +103,7 @@
     private boolean begun;
     private boolean ended;
 
-    private Ticket(ReadingQueue.Unread prompt, double aheadTokens) {
+    private InFlightRequest(ReadingQueue.Unread prompt, double aheadTokens) {
       this.prompt = prompt;
       this.aheadTokens = aheadTokens;
       this.sentAt = prompt.sentAt();
@@ -115,12 +115,12 @@
     }
 
     /** Returns how many tokens of its prompt the endpoint had to read when it was sent. */
-    public long unreadTokens() {
+    public long prefillTokens() {
       return prompt.tokens();
     }
 
     /** Notes bytes of the answer; the first ones end the reading of the prompt. */
-    public void bytes(Instant now) {
+    public void bytesReceived(Instant now) {
       lastByteAt = now;
       silences = 0;
       silentUntil = Instant.EPOCH;
@@ -136,7 +136,7 @@
      *
      * @param newTokens the tokens in them
      */
-    public void events(long newTokens, Instant now) {
+    public void eventsReceived(long newTokens, Instant now) {
       lastEventAt.ifPresent(at -> pace.sample(Duration.between(at, now), newTokens, now));
       lastEventAt = Optional.of(now);
     }
@@ -153,7 +153,7 @@
     }
 
     /** Ends the request. */
-    public void end(Outcome outcome, Instant now) {
+    public void finish(Outcome outcome, Instant now) {
       if (ended) {
         return;
       }
@@ -191,11 +191,11 @@
 
   /** Starts tracking an endpoint. */
   public EndpointTracker(EndpointRecord record, Instant now) {
-    this(record, new StatedConditions(), now);
+    this(record, new AdvertisedConditions(), now);
   }
 
   /** Starts tracking an endpoint that may have stated conditions before. */
-  EndpointTracker(EndpointRecord record, StatedConditions conditions, Instant now) {
+  EndpointTracker(EndpointRecord record, AdvertisedConditions conditions, Instant now) {
     this.conditions = conditions;
     Arrays.fill(tokensPerMilli, INITIAL_TOKENS_PER_MILLI);
     update(record, now);
@@ -210,7 +210,7 @@
   }
 
   /** Treats the endpoint as cold until an instant. */
-  public void coldUntil(Instant until) {
+  public void extendColdUntil(Instant until) {
     coldUntil = until.isAfter(coldUntil) ? until : coldUntil;
   }
 
@@ -220,7 +220,7 @@
   }
 
   /** Returns on which conditions the endpoint takes requests. */
-  public StatedConditions conditions() {
+  public AdvertisedConditions conditions() {
     return conditions;
   }
 
@@ -230,7 +230,7 @@
   }
 
   /** Returns whether the endpoint is still warming up. */
-  public boolean cold(Instant now) {
+  public boolean isCold(Instant now) {
     return coldUntil.isAfter(now);
   }
 
@@ -240,12 +240,12 @@
   }
 
   /** Returns the requests of this entry in flight there. */
-  public int running() {
+  public int inFlight() {
     return running;
   }
 
   /** Returns this entry's prompts that the endpoint has not read yet. */
-  public List<FleetMessage.UnreadPrompt> unreadPrompts(Instant now) {
+  public List<FleetMessage.UnreadPrompt> pendingPrompts(Instant now) {
     return reading.own().stream()
         .map(
             p ->
@@ -255,7 +255,7 @@
   }
 
   /** Takes another entry's report of its work there. */
-  public void peerWork(
+  public void updatePeerLoad(
       String entry, int peerRunning, List<FleetMessage.UnreadPrompt> prompts, Instant now) {
     if (peerRunning == 0) {
       peers.remove(entry);
@@ -278,12 +278,12 @@
    *
    * @param fetchedTokens the tokens of its prompt that the endpoint fetches instead of reading them
    */
-  public Ticket begin(
+  public InFlightRequest startRequest(
       PlacementRequest request, long fetchedTokens, long kvCapacityTokens, Instant now) {
     int priority = bounded(request.priority());
     double ahead = tokensAhead(priority, now);
     long unread = Math.max(0, uncachedTokens(request) - fetchedTokens);
-    Ticket ticket = new Ticket(new ReadingQueue.Unread(priority, unread, now), ahead);
+    InFlightRequest ticket = new InFlightRequest(new ReadingQueue.Unread(priority, unread, now), ahead);
     if (running == 0) {
       lastByteAt = now;
     }
@@ -293,7 +293,7 @@
     if (!request.parts().isEmpty()) {
       prefixes.read(request.parts(), kvCapacityTokens);
     }
-    if (cold(now)) {
+    if (isCold(now)) {
       coldSentAt = now;
     }
     rateLimit().sent(now);
@@ -301,7 +301,7 @@
   }
 
   /** Notes that a connection could not be had. */
-  public void refusedConnection(Instant now) {
+  public void recordConnectFailure(Instant now) {
     refusals++;
     refusedUntil = now.plusMillis(pauseMillis(refusals));
   }
@@ -324,17 +324,17 @@
    * Returns whether the endpoint has not answered since it fell silent: connections to it from
    * before may lead nowhere, and what is written to them may or may not run.
    */
-  public boolean unproven() {
+  public boolean isUnconfirmed() {
     return silences > 0;
   }
 
   /** Notes that another incarnation answers at the address. */
-  public void wrongInstance() {
+  public void markReplaced() {
     wrongInstance = true;
   }
 
   /** Notes that the endpoint refused a request because it is full. */
-  public void full(Instant now) {
+  public void markFull(Instant now) {
     busyUntil = now.plusMillis(Math.round(Math.min(500, Math.max(50, serviceMillis))));
   }
 
@@ -357,14 +357,14 @@
   }
 
   /** Returns whether the endpoint may get new work at all. */
-  public boolean takesWork(Instant now) {
-    return inService(now) && conditions.pauseLeft(now).isZero();
+  public boolean acceptsRequests(Instant now) {
+    return inService(now) && conditions.remainingPause(now).isZero();
   }
 
   /** Returns whether the endpoint takes work but for a pause that it asked for. */
   private boolean inService(Instant now) {
     return record.state() == EndpointState.READY
-        && !conditions.isLeaving()
+        && !conditions.isDraining()
         && !wrongInstance
         && !refusedUntil.isAfter(now);
   }
@@ -405,7 +405,7 @@
       return Optional.empty();
     }
     Duration rate = rateLimit().untilAdmitted(rateSenders(entry, regionEntries), now);
-    Duration pause = conditions.pauseLeft(now);
+    Duration pause = conditions.remainingPause(now);
     return Optional.of(rate.compareTo(pause) > 0 ? rate : pause);
   }
 
@@ -421,12 +421,12 @@
    * of 13,000 to 29,000 tokens went to one other, 68,000 tokens to read where 17,000 were expected,
    * and the questions behind them had their first bytes after 2.5 s instead of 0.6 s.
    */
-  public boolean yieldsPrefixes(Instant now) {
-    return takesWork(now) && !suspect(now) && failureScore(now) < MOST_FAILURES_OF_SOURCE;
+  public boolean isPrefixSource(Instant now) {
+    return acceptsRequests(now) && !isSuspect(now) && failureScore(now) < MOST_FAILURES_OF_SOURCE;
   }
 
   /** Returns whether the endpoint owes answers and is or was a moment ago silent for too long. */
-  public boolean suspect(Instant now) {
+  public boolean isSuspect(Instant now) {
     return owesAnswers(now) || silentUntil.isAfter(now);
   }
 
@@ -450,7 +450,7 @@
    * Notes that the endpoint has read some leading parts of a prompt, as an answer showed here or at
    * another entry.
    */
-  public void prefixRead(List<PromptPart> parts, long kvCapacityTokens) {
+  public void recordPrefix(List<PromptPart> parts, long kvCapacityTokens) {
     prefixes.read(parts, kvCapacityTokens);
     readPrefixes.read(parts, kvCapacityTokens);
   }
@@ -464,7 +464,7 @@
   }
 
   private double tokensAhead(int priority, Instant now) {
-    return reading.tokensAhead(priority, tokensPerMilli(priority), now);
+    return reading.tokensAhead(priority, prefillTokensPerMilli(priority), now);
   }
 
   /** Returns all entries' requests in flight there. */
@@ -483,7 +483,7 @@
     int slots = Math.max(1, record.slots());
     int over = allRunning(now) + 1 - slots;
     double slotWait = over > 0 ? serviceMillis * over / slots : 0;
-    return tokensAhead(priority, now) / tokensPerMilli(priority) + slotWait;
+    return tokensAhead(priority, now) / prefillTokensPerMilli(priority) + slotWait;
   }
 
   /** Returns how long each token of an answer takes there, in ms. */
@@ -498,11 +498,11 @@
 
   /** Returns the time to read some tokens of a request, in ms. */
   public double readMillis(PlacementRequest request, long tokens) {
-    return tokens / tokensPerMilli(request.priority());
+    return tokens / prefillTokensPerMilli(request.priority());
   }
 
   /** Returns the reading speed measured for a priority, in prompt tokens a millisecond. */
-  public double tokensPerMilli(int priority) {
+  public double prefillTokensPerMilli(int priority) {
     return tokensPerMilli[bounded(priority)];
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/ExtraSendBudget.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/ExtraSendBudget.java
@@ -37,7 +37,7 @@
   }
 
   /** Counts a request's first send. */
-  public void firstSend(String service, Instant now) {
+  public void recordFirstSend(String service, Instant now) {
     recent(requests, service, now).addLast(now);
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/ConnectionKeeping.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/KeepAlivePolicy.java
@@ -17,7 +17,7 @@
  *
  * <p>Not thread-safe: owned by the entry's event loop.
  */
-public final class ConnectionKeeping {
+public final class KeepAlivePolicy {
   /** Used if an endpoint states no time. */
   private static final Duration DEFAULT_KEEP = Duration.ofSeconds(4);
 
@@ -40,7 +40,7 @@
    * @param address the endpoint's address
    * @param rested how long the connection had been unused
    */
-  public void reset(String address, Duration rested, Instant now) {
+  public void recordReset(String address, Duration rested, Instant now) {
     droppedAt.values().removeIf(at -> !at.plus(REMEMBERED).isAfter(now));
     if (rested.compareTo(SHORT_KEEP) >= 0) {
       droppedAt.put(address, now);
@@ -52,7 +52,7 @@
    *
    * @param stated the time that the endpoint states, if it does
    */
-  public Duration keep(String address, Optional<Duration> stated, Instant now) {
+  public Duration idleTimeout(String address, Optional<Duration> stated, Instant now) {
     Duration keep = stated.map(s -> s.minus(STATED_MARGIN)).orElse(DEFAULT_KEEP);
     Duration believed = keep.compareTo(SHORTEST_STATED) < 0 ? SHORTEST_STATED : keep;
     return dropsEarly(address, now) ? SHORT_KEEP : believed;
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placement.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placement.java
@@ -12,7 +12,7 @@
     if (this instanceof Refused refused) {
       return refused.reason().name().toLowerCase(Locale.ROOT);
     }
-    return this instanceof Here ? "here" : "elsewhere";
+    return this instanceof ToEndpoint ? "here" : "elsewhere";
   }
 
   /**
@@ -23,7 +23,7 @@
    * @param tokenMillis how long each token after it takes there
    * @param fetch the part of the prompt that it shall fetch instead of reading it
    */
-  record Here(
+  record ToEndpoint(
       EndpointTracker endpoint,
       double expectedMillis,
       double tokenMillis,
@@ -44,7 +44,7 @@
    * @param region the region
    * @param expectedMillis the expected wait there
    */
-  record Elsewhere(String region, double expectedMillis) implements Placement {}
+  record ToRegion(String region, double expectedMillis) implements Placement {}
 
   /**
    * Nowhere: it would wait too long, or nothing can run it.
@@ -53,17 +53,17 @@
    * @param retryAfter when it is worth coming back
    * @param evidence what decided it, for the log
    */
-  record Refused(Reason reason, Duration retryAfter, Evidence evidence) implements Placement {}
+  record Refused(Reason reason, Duration retryAfter, RefusalDetails evidence) implements Placement {}
 
   /**
    * The waits that a refusal went by.
    *
-   * @param waitHereMillis the shortest wait in this region, if an endpoint here was usable
-   * @param waitElsewhereMillis the shortest wait told by another region that may run it
-   * @param patienceMillis the longest wait with which the request would have been taken
+   * @param localWaitMillis the shortest wait in this region, if an endpoint here was usable
+   * @param remoteWaitMillis the shortest wait told by another region that may run it
+   * @param maxWaitMillis the longest wait with which the request would have been taken
    */
-  record Evidence(
-      OptionalLong waitHereMillis, OptionalLong waitElsewhereMillis, long patienceMillis) {}
+  record RefusalDetails(
+      OptionalLong localWaitMillis, OptionalLong remoteWaitMillis, long maxWaitMillis) {}
 
   /** Why a request is refused. */
   enum Reason {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PlacementRequest.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PlacementRequest.java
@@ -10,26 +10,26 @@
  * @param service the service that shall run it
  * @param priority its rank, 0 the most urgent
  * @param promptTokens the length of its prompt; 0 for a plain service
- * @param answerTokens how many tokens its answer is expected to have; 0 for a plain service
+ * @param expectedOutputTokens how many tokens its answer is expected to have; 0 for a plain service
  * @param parts the prompt's parts, as far as the caller named them
- * @param objective the time to the first byte of the answer that the caller wants
+ * @param firstByteObjective the time to the first byte of the answer that the caller wants
  * @param remaining what is left of its deadline
- * @param passedOver endpoints not to be tried (again)
+ * @param excludedEndpoints endpoints not to be tried (again)
  */
 public record PlacementRequest(
     String service,
     int priority,
     long promptTokens,
-    long answerTokens,
+    long expectedOutputTokens,
     List<PromptPart> parts,
-    Duration objective,
+    Duration firstByteObjective,
     Duration remaining,
-    Set<String> passedOver) {
+    Set<String> excludedEndpoints) {
 
   /** Copies the collections so the request is immutable. */
   public PlacementRequest {
     parts = List.copyOf(parts);
-    passedOver = Set.copyOf(passedOver);
+    excludedEndpoints = Set.copyOf(excludedEndpoints);
   }
 
   /** Returns the parts that the prompt shares with others: all but the last. */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placer.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placer.java
@@ -22,11 +22,11 @@
  * Admitting all of them makes every answer late, so the wait is bounded by the callers' objective,
  * and the overflow goes to regions whose peak is at another hour before it is refused.
  *
- * @param coldOwners how many entries of a region may send to one cold endpoint, so that together
+ * @param coldSenders how many entries of a region may send to one cold endpoint, so that together
  *     they keep its bound
  * @param random spreads the overflow
  */
-public record Placer(int coldOwners, RandomGenerator random) {
+public record Placer(int coldSenders, RandomGenerator random) {
   /** Round trip to another region plus the relaying entry's work, in ms. */
   static final double REGION_MILLIS = 130;
 
@@ -98,29 +98,29 @@
    * @param endpoints the service's endpoints in this region that are not evacuated
    * @param entry this entry's name
    * @param regionEntries the names of this region's entries
-   * @param ownLimit requests that this entry may have in flight at one endpoint
+   * @param maxInFlightPerEndpoint requests that this entry may have in flight at one endpoint
    * @param regions the other regions' load; empty if the request must stay here
    * @param allowedRegions regions that may run the request; empty for any
-   * @param passedOverRegions regions not to be tried again
+   * @param excludedRegions regions not to be tried again
    * @param region this region
    * @param prefixHolders the service's endpoints anywhere from which KV cache may be fetched
    * @param engine the service's engine; empty for a plain service
-   * @param switchedOff mechanisms that are not used
+   * @param disabledMechanisms mechanisms that are not used
    */
-  public record Surroundings(
+  public record Context(
       Collection<EndpointTracker> endpoints,
       String entry,
       List<String> regionEntries,
-      int ownLimit,
+      int maxInFlightPerEndpoint,
       Optional<RegionLoads> regions,
       Set<String> allowedRegions,
-      Set<String> passedOverRegions,
+      Set<String> excludedRegions,
       String region,
       Collection<EndpointTracker> prefixHolders,
       Optional<ServiceSpec.Engine> engine,
-      Set<PlacementMechanism> switchedOff) {
+      Set<PlacementMechanism> disabledMechanisms) {
     private boolean uses(PlacementMechanism mechanism) {
-      return !switchedOff.contains(mechanism);
+      return !disabledMechanisms.contains(mechanism);
     }
   }
 
@@ -135,13 +135,13 @@
       Optional<Placement.PrefixFetch> fetch) {}
 
   /** Places a request. */
-  public Placement place(PlacementRequest request, Surroundings around, Instant now) {
+  public Placement place(PlacementRequest request, Context around, Instant now) {
     Optional<Scored> here = homeHere(around) ? bestHere(request, around, now) : Optional.empty();
     Optional<RegionLoads.Offer> elsewhere =
         around
             .regions()
             .flatMap(
-                r -> r.best(request, around.allowedRegions(), around.passedOverRegions(), now));
+                r -> r.best(request, around.allowedRegions(), around.excludedRegions(), now));
     double patience = patienceMillis(request, here.map(Scored::readMillis).orElse(0.0));
     boolean goodHere = here.isPresent() && waitHere(here.get(), request, now) <= patience;
     boolean goodElsewhere =
@@ -154,16 +154,16 @@
     if (goodHere && !betterElsewhere) {
       Scored best = here.get();
       double tokenMillis = best.endpoint().tokenMillis(now);
-      return new Placement.Here(best.endpoint(), best.firstByteMillis(), tokenMillis, best.fetch());
+      return new Placement.ToEndpoint(best.endpoint(), best.firstByteMillis(), tokenMillis, best.fetch());
     }
     if (goodElsewhere) {
-      return new Placement.Elsewhere(
+      return new Placement.ToRegion(
           elsewhere.get().region(), firstByteElsewhere(elsewhere.get(), request, around));
     }
     return refuse(request, around, here, elsewhere, patience, now);
   }
 
-  private static boolean homeHere(Surroundings around) {
+  private static boolean homeHere(Context around) {
     return around.allowedRegions().isEmpty() || around.allowedRegions().contains(around.region());
   }
 
@@ -171,16 +171,16 @@
    * The expected first byte of a request sent elsewhere, which reads all that it does not share.
    */
   private static double firstByteElsewhere(
-      RegionLoads.Offer offer, PlacementRequest request, Surroundings around) {
+      RegionLoads.Offer offer, PlacementRequest request, Context around) {
     double held = fetches(around) ? SHARED_FETCHED_ELSEWHERE : SHARED_HELD_ELSEWHERE;
     double tokens = request.promptTokens() - held * request.sharedTokens();
     return offer.waitMillis() + REGION_MILLIS + tokens / RegionLoads.ASSUMED_TOKENS_PER_MILLI;
   }
 
   private static double answeredElsewhere(
-      RegionLoads.Offer offer, PlacementRequest request, Surroundings around) {
+      RegionLoads.Offer offer, PlacementRequest request, Context around) {
     double pace = around.uses(PlacementMechanism.TOKEN_PACE) ? offer.tokenMillis() : 0;
-    return firstByteElsewhere(offer, request, around) + request.answerTokens() * pace;
+    return firstByteElsewhere(offer, request, around) + request.expectedOutputTokens() * pace;
   }
 
   private static double waitHere(Scored here, PlacementRequest request, Instant now) {
@@ -194,7 +194,7 @@
    * as long as an answer still reaches their callers.
    */
   private static double patienceMillis(PlacementRequest request, double readMillis) {
-    double objective = request.objective().toMillis();
+    double objective = request.firstByteObjective().toMillis();
     double remaining = request.remaining().toMillis();
     if (request.promptTokens() == 0) {
       return Math.min(remaining / 2, Math.max(objective, PLAIN_SHARE * remaining));
@@ -203,14 +203,14 @@
     return Math.min(remaining / 2, Math.max(LEAST_PATIENCE * objective, inTime));
   }
 
-  private static boolean silent(EndpointTracker endpoint, Surroundings around, Instant now) {
+  private static boolean silent(EndpointTracker endpoint, Context around, Instant now) {
     return around.uses(PlacementMechanism.SILENCE_MEMORY)
-        ? endpoint.suspect(now)
+        ? endpoint.isSuspect(now)
         : endpoint.owesAnswers(now);
   }
 
   private boolean clearlySooner(
-      Scored here, RegionLoads.Offer elsewhere, PlacementRequest request, Surroundings around) {
+      Scored here, RegionLoads.Offer elsewhere, PlacementRequest request, Context around) {
     double gain =
         here.score() - answeredElsewhere(elsewhere, request, around) - REGION_MARGIN_MILLIS;
     return gain > 0 && random.nextDouble() < OVERFLOW_SHARE;
@@ -218,7 +218,7 @@
 
   private Placement refuse(
       PlacementRequest request,
-      Surroundings around,
+      Context around,
       Optional<Scored> here,
       Optional<RegionLoads.Offer> elsewhere,
       double patience,
@@ -231,8 +231,8 @@
         elsewhere.isPresent()
             ? OptionalDouble.of(elsewhere.get().waitMillis())
             : OptionalDouble.empty();
-    Placement.Evidence evidence =
-        new Placement.Evidence(rounded(waitHere), rounded(waitElsewhere), Math.round(patience));
+    Placement.RefusalDetails evidence =
+        new Placement.RefusalDetails(rounded(waitHere), rounded(waitElsewhere), Math.round(patience));
     if (here.isEmpty() && elsewhere.isEmpty()) {
       Optional<Duration> pause =
           homeHere(around) ? pauseHere(request, around, now) : Optional.empty();
@@ -249,9 +249,9 @@
 
   /** The time until an endpoint takes a request again that only states conditions. */
   private static Optional<Duration> pauseHere(
-      PlacementRequest request, Surroundings around, Instant now) {
+      PlacementRequest request, Context around, Instant now) {
     return around.endpoints().stream()
-        .filter(e -> !request.passedOver().contains(e.record().id()))
+        .filter(e -> !request.excludedEndpoints().contains(e.record().id()))
         .flatMap(e -> e.untilConditionsHold(around.entry(), around.regionEntries(), now).stream())
         .filter(pause -> !pause.isZero())
         .min(Comparator.naturalOrder());
@@ -269,7 +269,7 @@
     return atLeast.compareTo(most) > 0 ? most : atLeast;
   }
 
-  private Optional<Scored> bestHere(PlacementRequest request, Surroundings around, Instant now) {
+  private Optional<Scored> bestHere(PlacementRequest request, Context around, Instant now) {
     List<EndpointTracker> usable =
         around.endpoints().stream().filter(e -> usable(e, request, around, now)).toList();
     List<EndpointTracker> sound =
@@ -290,7 +290,7 @@
       boolean firstInRank,
       List<Holder> holders,
       PlacementRequest request,
-      Surroundings around,
+      Context around,
       Instant now) {
     long uncached = e.uncachedTokens(request);
     long sharedUncached = Math.max(0, uncached - (request.promptTokens() - request.sharedTokens()));
@@ -303,22 +303,22 @@
     double pace = around.uses(PlacementMechanism.TOKEN_PACE) ? e.tokenMillis(now) : 0;
     double score =
         millis
-            + request.answerTokens() * pace
+            + request.expectedOutputTokens() * pace
             + READ_AGAIN_FACTOR * e.readMillis(request, readAgain)
             + FETCH_FACTOR * e.readMillis(request, fetched)
-            + LATENESS_FACTOR * Math.max(0, millis - SAFE_SHARE * request.objective().toMillis())
+            + LATENESS_FACTOR * Math.max(0, millis - SAFE_SHARE * request.firstByteObjective().toMillis())
             + FAILURE_MILLIS * e.recentFailures(now)
             + (firstInRank ? 0 : RANK_MILLIS);
     return new Scored(e, readMillis, millis, score, fetch);
   }
 
   /** The endpoints that hold a beginning of the prompt worth a fetch, asked once a request. */
-  private static List<Holder> holders(PlacementRequest request, Surroundings around) {
+  private static List<Holder> holders(PlacementRequest request, Context around) {
     if (request.sharedTokens() < LEAST_FETCH_TOKENS || !fetches(around)) {
       return List.of();
     }
     return around.prefixHolders().stream()
-        .filter(source -> !request.passedOver().contains(source.record().id()))
+        .filter(source -> !request.excludedEndpoints().contains(source.record().id()))
         .map(source -> new Holder(source, source.fetchableTokens(request)))
         .filter(holder -> holder.tokens() >= LEAST_FETCH_TOKENS)
         .toList();
@@ -330,7 +330,7 @@
       long sharedUncached,
       List<Holder> holders,
       PlacementRequest request,
-      Surroundings around) {
+      Context around) {
     if (sharedUncached < LEAST_FETCH_TOKENS) {
       return Optional.empty();
     }
@@ -343,16 +343,16 @@
         .max(
             Comparator.comparingLong(Placement.PrefixFetch::tokens)
                 .thenComparing(fetch -> sameDomain(fetch.source(), target))
-                .thenComparing(fetch -> -fetch.source().running()));
+                .thenComparing(fetch -> -fetch.source().inFlight()));
   }
 
-  private static boolean fetches(Surroundings around) {
+  private static boolean fetches(Context around) {
     return around.uses(PlacementMechanism.PREFIX_FETCH)
         && around.engine().filter(ServiceSpec.Engine::fetches).isPresent();
   }
 
   private static boolean worthFetching(
-      long tokens, EndpointTracker target, PlacementRequest request, Surroundings around) {
+      long tokens, EndpointTracker target, PlacementRequest request, Context around) {
     double transferMillis = around.engine().orElseThrow().transferMillis(tokens);
     return target.readMillis(request, tokens) >= LEAST_FETCH_GAIN * transferMillis;
   }
@@ -362,15 +362,15 @@
   }
 
   private boolean usable(
-      EndpointTracker e, PlacementRequest request, Surroundings around, Instant now) {
-    if (!e.takesWork(now)
-        || request.passedOver().contains(e.record().id())
-        || e.running() >= around.ownLimit()
+      EndpointTracker e, PlacementRequest request, Context around, Instant now) {
+    if (!e.acceptsRequests(now)
+        || request.excludedEndpoints().contains(e.record().id())
+        || e.inFlight() >= around.maxInFlightPerEndpoint()
         || !e.withinRate(around.entry(), around.regionEntries(), now)) {
       return false;
     }
-    return !e.cold(now)
+    return !e.isCold(now)
         || e.coldPauseOver(now)
-            && e.isAmongFirst(around.entry(), around.regionEntries(), coldOwners);
+            && e.isAmongFirst(around.entry(), around.regionEntries(), coldSenders);
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/RegionLoads.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/RegionLoads.java
@@ -44,12 +44,12 @@
    */
   public record Offer(String region, double waitMillis, double tokenMillis) {
     private double answeredMillis(PlacementRequest request) {
-      return waitMillis + request.answerTokens() * tokenMillis;
+      return waitMillis + request.expectedOutputTokens() * tokenMillis;
     }
   }
 
   /** Takes a region's report. */
-  public void heard(String region, ServiceLoad load, Instant now) {
+  public void update(String region, ServiceLoad load, Instant now) {
     Key key = new Key(region, load.service());
     heard.put(key, new Heard(load, now));
     sentTokens.remove(key);
@@ -62,13 +62,13 @@
    *
    * @param senders how many entries this region has
    */
-  public void sent(String region, PlacementRequest request, int senders) {
+  public void recordRelayed(String region, PlacementRequest request, int senders) {
     long tokens = request.promptTokens() * Math.max(1, senders);
     sentTokens.merge(new Key(region, request.service()), tokens, Long::sum);
   }
 
   /** Notes that a region could not be reached. */
-  public void failed(String region, Instant now) {
+  public void recordUnreachable(String region, Instant now) {
     failedAt.put(region, now);
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/TrackedEndpoints.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/TrackedEndpoints.java
@@ -33,7 +33,7 @@
   private final Map<String, Instant> knownSince = new HashMap<>();
 
   /** By incarnation, those of endpoints included that the control instances have forgotten. */
-  private final Map<String, StatedConditions> conditions =
+  private final Map<String, AdvertisedConditions> conditions =
       BoundedMap.forgettingUnused(CONDITIONS_KEPT);
 
   private final Listener listener;
@@ -49,10 +49,10 @@
     void changed(EndpointRecord record, String cause);
 
     /** An endpoint is lost, or another incarnation is there under its id. */
-    void ended(EndpointTracker endpoint);
+    void incarnationLost(EndpointTracker endpoint);
 
     /** An endpoint that was lost is back as the same incarnation. */
-    void returned(EndpointRecord record);
+    void incarnationReturned(EndpointRecord record);
   }
 
   /** Creates it knowing no endpoint. */
@@ -111,18 +111,18 @@
     if (tracker != null) {
       noteEnd(tracker, known, changed.isPresent());
       if (known.returnsAfter(tracker.record())) {
-        listener.returned(known);
+        listener.incarnationReturned(known);
       }
     }
     if (tracker == null || known.startedAfter(tracker.record())) {
-      StatedConditions stated =
-          conditions.computeIfAbsent(known.incarnation(), i -> new StatedConditions());
+      AdvertisedConditions stated =
+          conditions.computeIfAbsent(known.incarnation(), i -> new AdvertisedConditions());
       trackers.put(record.id(), new EndpointTracker(known, stated, now));
       knownSince.put(record.id(), now);
     } else if (known.equals(record)) {
       tracker.update(record, now);
     }
-    if (known.state() == EndpointState.GONE && trackers.get(record.id()).running() == 0) {
+    if (known.state() == EndpointState.GONE && trackers.get(record.id()).inFlight() == 0) {
       trackers.remove(record.id());
     }
     changed.ifPresent(c -> listener.changed(c, from));
@@ -131,7 +131,7 @@
   private void noteEnd(EndpointTracker tracker, EndpointRecord known, boolean changed) {
     boolean lost = changed && known.state() == EndpointState.LOST;
     if (lost || known.startedAfter(tracker.record())) {
-      listener.ended(tracker);
+      listener.incarnationLost(tracker);
     }
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/stream/EventSplitter.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/stream/EventSplitter.java
@@ -33,7 +33,7 @@
    *
    * @return the bytes of the events that are complete now and not known yet, possibly none
    */
-  public byte[] take(byte[] bytes) {
+  public byte[] append(byte[] bytes) {
     pending.reset();
     for (byte b : bytes) {
       event.write(b);
@@ -80,7 +80,7 @@
   }
 
   /** Returns the bytes behind the last whole event. */
-  public byte[] rest() {
+  public byte[] incompleteEvent() {
     return event.toByteArray();
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/ExtraSendBudgetTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/ExtraSendBudgetTest.java
@@ -22,7 +22,7 @@
     for (int second = 0; second < 10; second++) {
       for (ExtraSendBudget budget : budgets) {
         for (int r = 0; r < requestsEachSecond; r++) {
-          budget.firstSend("s", now);
+          budget.recordFirstSend("s", now);
         }
         while (budget.tryTake("s", entries, now)) {
           extras++;
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/ConnectionKeepingTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/KeepAlivePolicyTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** For how long a connection to the endpoint "a" may rest, after resets here and there. */
-class ConnectionKeepingTest {
+class KeepAlivePolicyTest {
   private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
 
   /** A reset at the start: the endpoint and how long its connection had rested. */
@@ -45,13 +45,13 @@
   @ParameterizedTest
   @MethodSource("rows")
   void keepsForAsLongAsTheEndpointDoes(Row row) {
-    ConnectionKeeping keeping = new ConnectionKeeping();
+    KeepAlivePolicy keeping = new KeepAlivePolicy();
     row.resets()
-        .forEach(r -> keeping.reset(r.address(), Duration.ofMillis(r.restedMillis()), START));
+        .forEach(r -> keeping.recordReset(r.address(), Duration.ofMillis(r.restedMillis()), START));
     Optional<Duration> stated =
         Optional.of(Duration.ofSeconds(row.statedSeconds())).filter(d -> !d.isZero());
     assertThat(
-        keeping.keep("a", stated, START.plusMillis(row.laterMillis())).toMillis(),
+        keeping.idleTimeout("a", stated, START.plusMillis(row.laterMillis())).toMillis(),
         equalTo(row.keepMillis()));
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/LoadReplay.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/LoadReplay.java
@@ -86,7 +86,7 @@
       Kind kind,
       PlacementRequest request,
       Optional<Engine> source,
-      EndpointTracker.Ticket ticket,
+      EndpointTracker.InFlightRequest ticket,
       Instant arrivedAt,
       boolean large) {}
 
@@ -139,7 +139,7 @@
       for (int subject = n; subject < kind.subjects(); subject += count) {
         List<PromptPart> shared = List.of(sharedPart(kind, subject));
         neighbour.cache.read(shared, KV_TOKENS);
-        neighbour.trackers.forEach(t -> t.prefixRead(shared, KV_TOKENS));
+        neighbour.trackers.forEach(t -> t.recordPrefix(shared, KV_TOKENS));
       }
       neighbours.add(neighbour);
     }
@@ -185,7 +185,7 @@
     EndpointTracker told = engine.trackers.get(entry);
     for (EndpointTracker other : engine.trackers) {
       if (other != told) {
-        other.peerWork("entry-" + entry, told.running(), told.unreadPrompts(now), now);
+        other.updatePeerLoad("entry-" + entry, told.inFlight(), told.pendingPrompts(now), now);
       }
     }
   }
@@ -234,9 +234,9 @@
             before.service(),
             before.priority(),
             before.promptTokens(),
-            before.answerTokens(),
+            before.expectedOutputTokens(),
             before.parts(),
-            before.objective(),
+            before.firstByteObjective(),
             r.kind().deadline().minus(Duration.between(r.firstAt(), now)),
             Set.of());
     if (place(new Returning(r.kind(), again, r.firstAt(), r.large()), now).isPresent()) {
@@ -247,8 +247,8 @@
   /** Places a request; returns the pause that its caller is told if it is refused. */
   private Optional<Duration> place(Returning arrival, Instant now) {
     int entry = entryCount == 1 ? 0 : random.nextInt(entryCount);
-    Placer.Surroundings around =
-        new Placer.Surroundings(
+    Placer.Context around =
+        new Placer.Context(
             engines.stream().map(e -> e.trackers.get(entry)).toList(),
             "entry-" + entry,
             IntStream.range(0, entryCount).mapToObj(e -> "entry-" + e).toList(),
@@ -264,12 +264,12 @@
     if (placement instanceof Placement.Refused refused) {
       return Optional.of(refused.retryAfter());
     }
-    Placement.Here here = (Placement.Here) placement;
+    Placement.ToEndpoint here = (Placement.ToEndpoint) placement;
     EndpointTracker chosen = here.endpoint();
     Engine engine = engineOf(chosen);
     long fetched = here.fetch().map(Placement.PrefixFetch::tokens).orElse(0L);
     long uncached = chosen.uncachedTokens(arrival.request()) - fetched;
-    EndpointTracker.Ticket ticket = chosen.begin(arrival.request(), fetched, KV_TOKENS, now);
+    EndpointTracker.InFlightRequest ticket = chosen.startRequest(arrival.request(), fetched, KV_TOKENS, now);
     if (uncached >= LONG_PROMPT_TOKENS) {
       tellOthers(engine, entry, now);
     }
@@ -289,7 +289,7 @@
         s -> {
           boolean over = !s.getKey().isAfter(now);
           if (over) {
-            s.getValue().ticket().end(Outcome.ANSWERED, now);
+            s.getValue().ticket().finish(Outcome.ANSWERED, now);
           }
           return over;
         });
@@ -328,8 +328,8 @@
   }
 
   private void firstByte(Engine engine, Waiting done, Instant now) {
-    done.ticket().bytes(now);
-    engine.trackers.forEach(t -> t.prefixRead(done.request().sharedParts(), KV_TOKENS));
+    done.ticket().bytesReceived(now);
+    engine.trackers.forEach(t -> t.recordPrefix(done.request().sharedParts(), KV_TOKENS));
     engine.streaming.add(Map.entry(now.plus(STREAM_REST), done));
     Tally tally = tallies.get(done.kind().name());
     if (Duration.between(done.arrivedAt(), now).compareTo(done.kind().objective()) <= 0) {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerTest.java
@@ -74,14 +74,14 @@
   }
 
   private static String where(Placement placement) {
-    return placement instanceof Placement.Here
+    return placement instanceof Placement.ToEndpoint
         ? "here"
-        : placement instanceof Placement.Elsewhere ? "elsewhere" : "refused";
+        : placement instanceof Placement.ToRegion ? "elsewhere" : "refused";
   }
 
-  private static Placer.Surroundings around(
+  private static Placer.Context around(
       List<EndpointTracker> endpoints, RegionLoads loads, Set<String> homes, String entry) {
-    return new Placer.Surroundings(
+    return new Placer.Context(
         endpoints,
         entry,
         List.of("e1", "e2", "e3", "e4", "e5", "e6"),
@@ -100,12 +100,12 @@
   void goesWhereItIsServedInTime(Row row) {
     EndpointTracker endpoint = tracker("i-1", row.state(), 0);
     if (row.backlogTokens() > 0) {
-      endpoint.begin(request(row.backlogTokens()), 0, 400_000, NOW);
+      endpoint.startRequest(request(row.backlogTokens()), 0, 400_000, NOW);
     }
     RegionLoads loads = new RegionLoads();
     if (row.elsewhereMillis() >= 0) {
       long[] waits = {row.elsewhereMillis(), row.elsewhereMillis()};
-      loads.heard("there", new ServiceLoad("s", 2, waits, 10), NOW);
+      loads.update("there", new ServiceLoad("s", 2, waits, 10), NOW);
     }
     Placement placement =
         new Placer(3, new Random(1))
@@ -132,8 +132,8 @@
         Placement placement =
             placer.place(
                 request(0), around(List.of(view), new RegionLoads(), Set.of(), "e" + e), now);
-        if (placement instanceof Placement.Here) {
-          view.begin(request(0), 0, 0, now).end(EndpointTracker.Outcome.ANSWERED, now);
+        if (placement instanceof Placement.ToEndpoint) {
+          view.startRequest(request(0), 0, 0, now).finish(EndpointTracker.Outcome.ANSWERED, now);
           sent.add(now);
         }
       }
@@ -175,7 +175,7 @@
     EndpointTracker endpoint = tracker("i-1", EndpointState.READY, 0);
     row.perSecond().ifPresent(r -> endpoint.rateLimit().stated(row.perSecond(), NOW, NOW));
     endpoint.conditions().pause(row.pause(), NOW);
-    endpoint.full(NOW.plusMillis(row.laterMillis()));
+    endpoint.markFull(NOW.plusMillis(row.laterMillis()));
     Placement placement =
         new Placer(3, new Random(1))
             .place(
@@ -199,7 +199,7 @@
   void silentEndpointThatOwesAnswersIsAvoided() {
     EndpointTracker silent = tracker("i-1", EndpointState.READY, 0);
     EndpointTracker sound = tracker("i-2", EndpointState.READY, 0);
-    silent.begin(request(100), 0, 1_000, NOW);
+    silent.startRequest(request(100), 0, 1_000, NOW);
     Instant later = NOW.plusSeconds(1);
     for (int i = 0; i < 20; i++) {
       Placement placement =
@@ -208,7 +208,7 @@
                   request(100 + i),
                   around(List.of(silent, sound), new RegionLoads(), Set.of(), "e1"),
                   later);
-      assertThat(((Placement.Here) placement).endpoint().record().id(), equalTo("i-2"));
+      assertThat(((Placement.ToEndpoint) placement).endpoint().record().id(), equalTo("i-2"));
     }
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PrefixFetchTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PrefixFetchTest.java
@@ -122,12 +122,12 @@
     Map<String, EndpointTracker> endpoints = new TreeMap<>();
     Map.of("target", "a", "near", "a", "far", "b")
         .forEach((id, domain) -> endpoints.put(id, tracker(id, domain)));
-    row.read().forEach((id, parts) -> endpoints.get(id).prefixRead(parts, KV_TOKENS));
-    Placer.Surroundings around =
+    row.read().forEach((id, parts) -> endpoints.get(id).recordPrefix(parts, KV_TOKENS));
+    Placer.Context around =
         around(List.of(endpoints.get("target")), endpoints.values(), row.linkMbps(), row.off());
     Placement placement =
         new Placer(3, new Random(1)).place(request(row.shared(), Set.of()), around, NOW);
-    Optional<Placement.PrefixFetch> fetch = ((Placement.Here) placement).fetch();
+    Optional<Placement.PrefixFetch> fetch = ((Placement.ToEndpoint) placement).fetch();
     assertThat(fetch.map(f -> f.source().record().id()).orElse("none"), equalTo(row.source()));
     assertThat(fetch.map(Placement.PrefixFetch::tokens).orElse(0L), equalTo(row.tokens()));
   }
@@ -142,26 +142,26 @@
 
   static Stream<HolderRow> holders() {
     return Stream.of(
-        new HolderRow("answers", (e, now) -> begin(e, now).bytes(now), true),
+        new HolderRow("answers", (e, now) -> begin(e, now).bytesReceived(now), true),
         new HolderRow(
             "answers in full",
-            (e, now) -> begin(e, now).end(EndpointTracker.Outcome.ANSWERED, now),
+            (e, now) -> begin(e, now).finish(EndpointTracker.Outcome.ANSWERED, now),
             true),
         new HolderRow(
-            "is full", (e, now) -> begin(e, now).end(EndpointTracker.Outcome.NOT_RUN, now), true),
+            "is full", (e, now) -> begin(e, now).finish(EndpointTracker.Outcome.NOT_RUN, now), true),
         new HolderRow(
             "breaks off an answer",
-            (e, now) -> begin(e, now).end(EndpointTracker.Outcome.FAILED, now),
+            (e, now) -> begin(e, now).finish(EndpointTracker.Outcome.FAILED, now),
             false),
         new HolderRow(
             "broke one off long ago",
             (e, now) ->
                 begin(e, now.minusSeconds(5))
-                    .end(EndpointTracker.Outcome.FAILED, now.minusSeconds(5)),
+                    .finish(EndpointTracker.Outcome.FAILED, now.minusSeconds(5)),
             true),
         new HolderRow(
             "owes an answer and is silent", (e, now) -> begin(e, now.minusSeconds(2)), false),
-        new HolderRow("refuses connections", EndpointTracker::refusedConnection, false),
+        new HolderRow("refuses connections", EndpointTracker::recordConnectFailure, false),
         new HolderRow(
             "is lost",
             (e, now) -> e.update(record(e.record().id(), "a", EndpointState.LOST), now),
@@ -173,18 +173,18 @@
   void onlySoundHoldersYield(HolderRow row) {
     EndpointTracker holder = tracker("holder", "a");
     row.event().accept(holder, NOW);
-    assertThat(holder.yieldsPrefixes(NOW), equalTo(row.source()));
+    assertThat(holder.isPrefixSource(NOW), equalTo(row.source()));
   }
 
   /** The answer broke off at the holder itself: its next endpoint must not ask it. */
   @Test
   void passedOverHolderIsNoSource() {
     EndpointTracker holder = tracker("holder", "a");
-    holder.prefixRead(List.of(COMMON, CONTRACT), KV_TOKENS);
-    Placer.Surroundings around =
+    holder.recordPrefix(List.of(COMMON, CONTRACT), KV_TOKENS);
+    Placer.Context around =
         around(List.of(tracker("target", "a")), List.of(holder), FAST_LINK_MBPS, Set.of());
     PlacementRequest again = request(List.of(COMMON, CONTRACT), Set.of("holder"));
-    Placement.Here here = (Placement.Here) new Placer(3, new Random(1)).place(again, around, NOW);
+    Placement.ToEndpoint here = (Placement.ToEndpoint) new Placer(3, new Random(1)).place(again, around, NOW);
     assertThat(here.fetch().isPresent(), equalTo(false));
   }
 
@@ -201,42 +201,42 @@
     for (long tokens : contractTokens) {
       prompts.add(request(List.of(new PromptPart("contract-" + tokens, tokens)), Set.of()));
     }
-    List<EndpointTracker.Ticket> open = new ArrayList<>();
+    List<EndpointTracker.InFlightRequest> open = new ArrayList<>();
     for (PlacementRequest prompt : prompts) {
-      open.add(crashed.begin(prompt, 0, KV_TOKENS, NOW));
-      crashed.prefixRead(prompt.sharedParts(), KV_TOKENS);
+      open.add(crashed.startRequest(prompt, 0, KV_TOKENS, NOW));
+      crashed.recordPrefix(prompt.sharedParts(), KV_TOKENS);
     }
-    open.forEach(ticket -> ticket.end(EndpointTracker.Outcome.FAILED, NOW));
+    open.forEach(ticket -> ticket.finish(EndpointTracker.Outcome.FAILED, NOW));
     List<EndpointTracker> left = List.of(tracker("left-1", "a"), tracker("left-2", "a"));
     List<EndpointTracker> holders =
         Stream.concat(left.stream(), Stream.of(crashed))
-            .filter(e -> e.yieldsPrefixes(NOW))
+            .filter(e -> e.isPrefixSource(NOW))
             .toList();
     long unread = 0;
     for (PlacementRequest prompt : prompts) {
-      Placement.Here here =
-          (Placement.Here)
+      Placement.ToEndpoint here =
+          (Placement.ToEndpoint)
               new Placer(3, new Random(1))
                   .place(prompt, around(left, holders, FAST_LINK_MBPS, Set.of()), NOW);
       long fetched = here.fetch().map(Placement.PrefixFetch::tokens).orElse(0L);
-      unread += here.endpoint().begin(prompt, fetched, KV_TOKENS, NOW).unreadTokens();
+      unread += here.endpoint().startRequest(prompt, fetched, KV_TOKENS, NOW).prefillTokens();
     }
     assertThat(unread, equalTo(prompts.stream().mapToLong(PlacementRequest::promptTokens).sum()));
     for (EndpointTracker engine : left) {
-      assertThat(engine.running(), greaterThan(0));
+      assertThat(engine.inFlight(), greaterThan(0));
     }
   }
 
-  private static EndpointTracker.Ticket begin(EndpointTracker endpoint, Instant at) {
-    return endpoint.begin(request(List.of(COMMON), Set.of()), 0, KV_TOKENS, at);
+  private static EndpointTracker.InFlightRequest begin(EndpointTracker endpoint, Instant at) {
+    return endpoint.startRequest(request(List.of(COMMON), Set.of()), 0, KV_TOKENS, at);
   }
 
-  private static Placer.Surroundings around(
+  private static Placer.Context around(
       Collection<EndpointTracker> endpoints,
       Collection<EndpointTracker> holders,
       double linkMbps,
       Set<PlacementMechanism> off) {
-    return new Placer.Surroundings(
+    return new Placer.Context(
         endpoints,
         "e1",
         List.of("e1"),
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/RegionLoadsTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/RegionLoadsTest.java
@@ -58,16 +58,16 @@
   @MethodSource("rows")
   void offersTheRegionWithTheLeastWait(Row row) {
     RegionLoads loads = new RegionLoads();
-    loads.heard("far", load(row.farWait()), START);
-    loads.heard("near", load(row.nearWait()), START);
+    loads.update("far", load(row.farWait()), START);
+    loads.update("near", load(row.nearWait()), START);
     PlacementRequest request =
         new PlacementRequest(
             "s", 0, 6_000, 0, List.of(), Duration.ofSeconds(1), Duration.ofSeconds(9), Set.of());
     for (int i = 0; i < row.sentToNear(); i++) {
-      loads.sent("near", request, row.senders());
+      loads.recordRelayed("near", request, row.senders());
     }
     if (!row.failed().equals(NONE)) {
-      loads.failed(row.failed(), START);
+      loads.recordUnreachable(row.failed(), START);
     }
     String offered =
         loads
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/SilentEndpointTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/SilentEndpointTest.java
@@ -14,7 +14,7 @@
 import org.lacewingcroft.fleet.EndpointRecord;
 import org.lacewingcroft.fleet.EndpointState;
 import org.lacewingcroft.placement.EndpointTracker.Outcome;
-import org.lacewingcroft.placement.EndpointTracker.Ticket;
+import org.lacewingcroft.placement.EndpointTracker.InFlightRequest;
 
 /** What is believed of an endpoint after its last request ended without a byte. */
 class SilentEndpointTest {
@@ -23,7 +23,7 @@
   /** A row: what happens, and what is believed so long after the start. */
   record Row(
       String name,
-      BiConsumer<EndpointTracker, Ticket> events,
+      BiConsumer<EndpointTracker, InFlightRequest> events,
       long atMillis,
       boolean suspect,
       boolean unproven) {
@@ -39,21 +39,21 @@
         new Row("no answer for long", (e, t) -> {}, 900, true, false),
         new Row(
             "the request was given up",
-            (e, t) -> t.end(Outcome.FAILED, at(1_000)),
+            (e, t) -> t.finish(Outcome.FAILED, at(1_000)),
             1_100,
             true,
             true),
         new Row(
-            "its caller left", (e, t) -> t.end(Outcome.CANCELLED, at(1_000)), 1_100, true, true),
+            "its caller left", (e, t) -> t.finish(Outcome.CANCELLED, at(1_000)), 1_100, true, true),
         new Row(
             "a caller that leaves soon says nothing",
-            (e, t) -> t.end(Outcome.CANCELLED, at(300)),
+            (e, t) -> t.finish(Outcome.CANCELLED, at(300)),
             1_100,
             false,
             false),
         new Row(
             "after a pause it may be asked again, on a new connection",
-            (e, t) -> t.end(Outcome.FAILED, at(1_000)),
+            (e, t) -> t.finish(Outcome.FAILED, at(1_000)),
             1_300,
             false,
             true),
@@ -68,27 +68,27 @@
         new EndpointTracker(
             new EndpointRecord("e", 0, "s", "10.0.0.1:1", "a", 8, EndpointState.READY, 1, 0),
             START);
-    Ticket ticket = begin(endpoint, START);
+    InFlightRequest ticket = begin(endpoint, START);
     row.events().accept(endpoint, ticket);
-    assertThat(endpoint.suspect(at(row.atMillis())), equalTo(row.suspect()));
-    assertThat(endpoint.unproven(), equalTo(row.unproven()));
+    assertThat(endpoint.isSuspect(at(row.atMillis())), equalTo(row.suspect()));
+    assertThat(endpoint.isUnconfirmed(), equalTo(row.unproven()));
   }
 
-  private static void silentTwice(EndpointTracker endpoint, Ticket ticket) {
-    ticket.end(Outcome.FAILED, at(1_000));
-    begin(endpoint, at(2_000)).end(Outcome.FAILED, at(3_000));
+  private static void silentTwice(EndpointTracker endpoint, InFlightRequest ticket) {
+    ticket.finish(Outcome.FAILED, at(1_000));
+    begin(endpoint, at(2_000)).finish(Outcome.FAILED, at(3_000));
   }
 
-  private static void silentThenAnswers(EndpointTracker endpoint, Ticket ticket) {
-    ticket.end(Outcome.FAILED, at(1_000));
-    begin(endpoint, at(1_200)).bytes(at(1_300));
+  private static void silentThenAnswers(EndpointTracker endpoint, InFlightRequest ticket) {
+    ticket.finish(Outcome.FAILED, at(1_000));
+    begin(endpoint, at(1_200)).bytesReceived(at(1_300));
   }
 
-  private static Ticket begin(EndpointTracker endpoint, Instant now) {
+  private static InFlightRequest begin(EndpointTracker endpoint, Instant now) {
     PlacementRequest request =
         new PlacementRequest(
             "s", 0, 300, 40, List.of(), Duration.ofSeconds(2), Duration.ofSeconds(5), Set.of());
-    return endpoint.begin(request, 0, 345_000, now);
+    return endpoint.startRequest(request, 0, 345_000, now);
   }
 
   private static Instant at(long millis) {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/StreamReplay.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/StreamReplay.java
@@ -42,14 +42,14 @@
   private int ended;
 
   private static final class Stream {
-    private final EndpointTracker.Ticket ticket;
+    private final EndpointTracker.InFlightRequest ticket;
     private final Instant deadline;
     private final int tokens;
     private final boolean counts;
     private double promptLeft = PROMPT_TOKENS;
     private int made;
 
-    private Stream(EndpointTracker.Ticket ticket, Instant deadline, int tokens, boolean counts) {
+    private Stream(EndpointTracker.InFlightRequest ticket, Instant deadline, int tokens, boolean counts) {
       this.ticket = ticket;
       this.deadline = deadline;
       this.tokens = tokens;
@@ -121,8 +121,8 @@
     PlacementRequest request =
         new PlacementRequest(
             "engine", 0, PROMPT_TOKENS, hint, parts(), OBJECTIVE, DEADLINE, Set.of());
-    Placer.Surroundings around =
-        new Placer.Surroundings(
+    Placer.Context around =
+        new Placer.Context(
             engines.stream().map(e -> e.tracker).toList(),
             "entry",
             List.of("entry"),
@@ -134,10 +134,10 @@
             List.of(),
             Optional.empty(),
             switchedOff);
-    if (placer.place(request, around, now) instanceof Placement.Here here) {
+    if (placer.place(request, around, now) instanceof Placement.ToEndpoint here) {
       Engine engine =
           engines.stream().filter(e -> e.tracker == here.endpoint()).findFirst().orElseThrow();
-      EndpointTracker.Ticket ticket = engine.tracker.begin(request, 0, 345_000, now);
+      EndpointTracker.InFlightRequest ticket = engine.tracker.startRequest(request, 0, 345_000, now);
       engine.unread.add(new Stream(ticket, now.plus(DEADLINE), tokens, counts));
     }
   }
@@ -178,12 +178,12 @@
     boolean over = stream.made >= stream.tokens;
     boolean late = now.isAfter(stream.deadline);
     if (stream.made % EVENT_TOKENS == 0 || over) {
-      stream.ticket.bytes(now);
-      stream.ticket.events(EVENT_TOKENS, now);
+      stream.ticket.bytesReceived(now);
+      stream.ticket.eventsReceived(EVENT_TOKENS, now);
     }
     if (over || late) {
       ended += late || !stream.counts ? 0 : 1;
-      stream.ticket.end(
+      stream.ticket.finish(
           late ? EndpointTracker.Outcome.CANCELLED : EndpointTracker.Outcome.ANSWERED, now);
     }
     return over || late;
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/TrackedEndpointsTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/TrackedEndpointsTest.java
@@ -37,12 +37,12 @@
             }
 
             @Override
-            public void ended(EndpointTracker endpoint) {
+            public void incarnationLost(EndpointTracker endpoint) {
               ended.add(endpoint.record().incarnation());
             }
 
             @Override
-            public void returned(EndpointRecord record) {
+            public void incarnationReturned(EndpointRecord record) {
               returned.add(record.incarnation());
             }
           });
@@ -138,7 +138,7 @@
   @Test
   void endpointThatSaidThatItLeavesGetsNoWorkWhateverIsAnnouncedOfIt() {
     tell(true, START, record("e", 1, EndpointState.READY, 1));
-    endpoints.tracker("e").orElseThrow().conditions().leave();
+    endpoints.tracker("e").orElseThrow().conditions().markDraining();
     tell(true, START.plusSeconds(1), record("e", 1, EndpointState.READY, 2));
     assertThat(takesWork("e", START.plusSeconds(1)), is(false));
     tell(true, START.plusSeconds(10));
@@ -150,7 +150,7 @@
   }
 
   private boolean takesWork(String endpoint, Instant now) {
-    return endpoints.tracker(endpoint).orElseThrow().takesWork(now);
+    return endpoints.tracker(endpoint).orElseThrow().acceptsRequests(now);
   }
 
   private OptionalDouble rateOf(String endpoint) {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/stream/EventSplitterTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/stream/EventSplitterTest.java
@@ -34,11 +34,11 @@
       StringBuilder out = new StringBuilder();
       for (int i = 0; i < row.bytes().length(); i += piece) {
         String part = row.bytes().substring(i, Math.min(row.bytes().length(), i + piece));
-        out.append(new String(splitter.take(part.getBytes(StandardCharsets.UTF_8))));
+        out.append(new String(splitter.append(part.getBytes(StandardCharsets.UTF_8))));
       }
       assertThat(out.toString(), equalTo(row.passedOn()));
       assertThat(splitter.lastId().orElse(-1), equalTo(row.lastId()));
-      assertThat(new String(splitter.rest(), StandardCharsets.UTF_8), equalTo(row.rest()));
+      assertThat(new String(splitter.incompleteEvent(), StandardCharsets.UTF_8), equalTo(row.rest()));
     }
   }
 }
