--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/QuarantineApi.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/QuarantineApi.java
@@ -39,7 +39,7 @@
       node.put(FINGERPRINT, suspicion.content().toString());
       node.put("lastEndAgeMillis", suspicion.age().toMillis());
       ArrayNode endpoints = node.putArray("endpoints");
-      suspicion.incarnations().stream().sorted().forEach(endpoints::add);
+      suspicion.crashedIncarnations().stream().sorted().forEach(endpoints::add);
     }
     JsonReply.send(ctx, list);
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/AggregatedNews.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/AggregatedNews.java
@@ -48,7 +48,7 @@
           load.running(),
           load.unread().size(),
           tokens,
-          load.rate().map(EndpointRateLimit.Statement::perSecond));
+          load.rate().map(EndpointRateLimit.Report::perSecond));
     }
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
@@ -480,7 +480,7 @@
     } else if (message instanceof FleetMessage.RegionLoad load) {
       regionHeard(load);
     } else if (message instanceof FleetMessage.EntryNews news) {
-      quotas.heardOfOthers(news.news().quotaUses(), clock.instant());
+      quotas.applyPeerUsage(news.news().quotaUses(), clock.instant());
     } else if (message instanceof FleetMessage.NewsDigest digest) {
       digestHeard(digest);
     } else if (message instanceof FleetMessage.SuspicionUpdate update) {
@@ -504,7 +504,7 @@
     digest.news().loads().forEach(loads::heard);
     digest.news().prefixes().forEach(prefixes::heard);
     digest.news().regionLoads().forEach(this::regionHeard);
-    quotas.heardOfAll(digest.news().quotaUses(), clock.instant());
+    quotas.applyFleetUsage(digest.news().quotaUses(), clock.instant());
   }
 
   /** Entries of large fleets tell each other through an aggregator while one is in reach. */
@@ -653,7 +653,7 @@
    */
   public void rateStated(
       EndpointTracker tracker, OptionalDouble perSecond, Instant sentAt, int status) {
-    if (tracker.rateLimit().stated(perSecond, sentAt, clock.instant())) {
+    if (tracker.rateLimit().updateFromResponse(perSecond, sentAt, clock.instant())) {
       RosterLog.rateLimitChanged(tracker.record().id(), perSecond, status);
       loads.rateStated(tracker);
     }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LoadExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LoadExchange.java
@@ -78,10 +78,10 @@
     Instant now = clock.instant();
     List<FleetMessage.EndpointLoad> work =
         trackers.get().stream()
-            .filter(t -> t.inFlight() > 0 || t.rateLimit().toTell(now).isPresent())
+            .filter(t -> t.inFlight() > 0 || t.rateLimit().report(now).isPresent())
             .map(t -> workAt(t, now))
             .toList();
-    Map<String, Long> uses = quotas.takeUntold();
+    Map<String, Long> uses = quotas.drainUnreportedUsage();
     if (!uses.isEmpty()) {
       channel.get().quotaUses(uses);
     }
@@ -97,7 +97,7 @@
         tracker.record().id(),
         tracker.inFlight(),
         tracker.pendingPrompts(now),
-        tracker.rateLimit().toTell(now));
+        tracker.rateLimit().report(now));
   }
 
   /** Tells the others at once that an endpoint states another rate than before. */
@@ -154,8 +154,8 @@
   }
 
   private static void rateHeard(
-      EndpointTracker tracker, EndpointRateLimit.Statement rate, String from, Instant now) {
-    if (tracker.rateLimit().heard(rate, now)) {
+      EndpointTracker tracker, EndpointRateLimit.Report rate, String from, Instant now) {
+    if (tracker.rateLimit().updateFromPeer(rate, now)) {
       RosterLog.rateLimitChanged(tracker.record().id(), rate.perSecond(), from);
     }
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/QuarantineLog.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/QuarantineLog.java
@@ -22,12 +22,12 @@
           "fingerprint",
           suspicion.content(),
           "endpoints",
-          suspicion.incarnations(),
+          suspicion.crashedIncarnations(),
           "ageMillis",
           suspicion.age().toMillis(),
           "cause",
           cause);
-    } else if (suspicion.clearedAge().isPresent() && suspicion.ends().isEmpty()) {
+    } else if (suspicion.clearedAge().isPresent() && suspicion.crashes().isEmpty()) {
       LOG.log(
           System.Logger.Level.INFO,
           "content.cleared",
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
@@ -97,11 +97,11 @@
     if (known.isEmpty()) {
       return Optional.empty();
     }
-    if (trials.tryNow(known.get(), name, entries.get(), now)) {
+    if (trials.tryStartTrial(known.get(), name, entries.get(), now)) {
       QuarantineLog.tried(known.get());
       return Optional.empty();
     }
-    return ledger.quarantinedFor(content, now);
+    return ledger.remainingQuarantine(content, now);
   }
 
   /** Returns how many contents are quarantined. */
@@ -112,7 +112,7 @@
   /** Notes that an endpoint has answered a content in full. */
   public void completed(RequestFingerprint content) {
     Instant now = clock.instant();
-    completions.completed(content, now);
+    completions.record(content, now);
     if (ledger.quarantined(content, now).isPresent()) {
       learn(Suspicion.cleared(content));
     }
@@ -149,7 +149,7 @@
   private void unanswered(
       EndpointRecord endpoint, RequestFingerprint content, UnansweredRuns.Kind kind) {
     unanswered
-        .unanswered(endpoint.incarnation(), content, kind, clock.instant())
+        .record(endpoint.incarnation(), content, kind, clock.instant())
         .ifPresent(this::suspect);
   }
 
@@ -160,17 +160,17 @@
    * @param lastByteAt when this entry last had a byte of it
    */
   void ended(EndpointRecord endpoint, Instant lastByteAt) {
-    unanswered.ended(endpoint.incarnation(), lastByteAt, clock.instant()).forEach(this::suspect);
+    unanswered.endpointCrashed(endpoint.incarnation(), lastByteAt, clock.instant()).forEach(this::suspect);
   }
 
   /** Notes that an endpoint that was taken for lost is back, as the same incarnation. */
   void returned(EndpointRecord endpoint) {
-    unanswered.returned(endpoint.incarnation());
-    ledger.disprove(endpoint.incarnation(), clock.instant());
+    unanswered.endpointRecovered(endpoint.incarnation());
+    ledger.retractCrash(endpoint.incarnation(), clock.instant());
   }
 
   private void suspect(Suspicion suspicion) {
-    if (!completions.clears(suspicion.content(), clock.instant())) {
+    if (!completions.isRecentlyCompleted(suspicion.content(), clock.instant())) {
       learn(suspicion);
     }
   }
@@ -178,7 +178,7 @@
   /** Takes what this entry has seen, and tells it. */
   private void learn(Suspicion suspicion) {
     ledger
-        .add(suspicion, clock.instant())
+        .merge(suspicion, clock.instant())
         .ifPresent(known -> QuarantineLog.learned(known, "seen here"));
     if (gathered.isEmpty()) {
       vertx.setTimer(GATHER_MILLIS, id -> tell());
@@ -213,9 +213,9 @@
   void heard(FleetMessage.SuspicionUpdate update) {
     Instant now = clock.instant();
     for (Suspicion suspicion : update.suspicions()) {
-      ledger.add(suspicion, now).ifPresent(known -> QuarantineLog.learned(known, update.from()));
+      ledger.merge(suspicion, now).ifPresent(known -> QuarantineLog.learned(known, update.from()));
       RequestFingerprint content = suspicion.content();
-      if (ledger.quarantined(content, now).isPresent() && completions.clears(content, now)) {
+      if (ledger.quarantined(content, now).isPresent() && completions.isRecentlyCompleted(content, now)) {
         learn(Suspicion.cleared(content));
       }
     }
@@ -236,7 +236,7 @@
     if (pulse.quarantineDigest() == digest()) {
       return;
     }
-    List<Suspicion> known = ledger.atLeast(Suspicion.QUARANTINED, clock.instant());
+    List<Suspicion> known = ledger.withCrashesOrCleared(Suspicion.QUARANTINE_THRESHOLD, clock.instant());
     if (!known.isEmpty()) {
       transport.send(pulse.from(), new FleetMessage.SuspicionUpdate(self, 0, known));
     }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionExchange.java
@@ -62,7 +62,7 @@
     try {
       store
           .load()
-          .forEach(s -> ledger.add(s, now).ifPresent(k -> QuarantineLog.learned(k, "disk")));
+          .forEach(s -> ledger.merge(s, now).ifPresent(k -> QuarantineLog.learned(k, "disk")));
     } catch (IOException e) {
       LOG.log(System.Logger.Level.WARNING, "quarantine.not_loaded", e);
     }
@@ -76,7 +76,7 @@
       return;
     }
     saving = true;
-    List<Suspicion> recurring = ledger.atLeast(SuspicionLedger.RECURRING, clock.instant());
+    List<Suspicion> recurring = ledger.withCrashesOrCleared(SuspicionLedger.RECURRING_THRESHOLD, clock.instant());
     vertx
         .<Void>executeBlocking(
             () -> {
@@ -93,7 +93,7 @@
     Instant now = clock.instant();
     List<Suspicion> learned = new ArrayList<>();
     for (Suspicion suspicion : update.suspicions()) {
-      ledger.add(suspicion, now).ifPresent(learned::add);
+      ledger.merge(suspicion, now).ifPresent(learned::add);
     }
     learned.forEach(known -> QuarantineLog.learned(known, update.from()));
     save();
@@ -120,20 +120,20 @@
     if (report.quarantineDigest() != quarantineDigest()) {
       tell(
           List.of(report.entry().peerAddress()),
-          ledger.atLeast(Suspicion.QUARANTINED, clock.instant()));
+          ledger.withCrashesOrCleared(Suspicion.QUARANTINE_THRESHOLD, clock.instant()));
     }
   }
 
   /** Tells another control instance of the recurring contents if it knows others. */
   void compare(FleetMessage.ControlHello hello) {
     if (hello.recurringDigest() != recurringDigest()) {
-      tell(List.of(hello.from()), ledger.atLeast(SuspicionLedger.RECURRING, clock.instant()));
+      tell(List.of(hello.from()), ledger.withCrashesOrCleared(SuspicionLedger.RECURRING_THRESHOLD, clock.instant()));
     }
   }
 
   /** Takes back what was held against contents because this endpoint had ended: it is back. */
   void returned(EndpointRecord endpoint) {
-    ledger.disprove(endpoint.incarnation(), clock.instant());
+    ledger.retractCrash(endpoint.incarnation(), clock.instant());
   }
 
   /** Forgets what is too old, and keeps the rest on disk. */
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/QuotaCharge.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/QuotaCharge.java
@@ -39,7 +39,7 @@
 
   /** Takes it; returns empty, or when it may be taken. */
   Optional<Duration> take(Instant now) {
-    Optional<Duration> refusedFor = organisation.flatMap(o -> quotas.take(o, cost, now));
+    Optional<Duration> refusedFor = organisation.flatMap(o -> quotas.charge(o, cost, now));
     taken = refusedFor.isEmpty();
     return refusedFor;
   }
@@ -48,7 +48,7 @@
   void giveBack() {
     if (taken) {
       taken = false;
-      organisation.ifPresent(o -> quotas.giveBack(o, cost));
+      organisation.ifPresent(o -> quotas.refund(o, cost));
     }
   }
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ContentQuarantine.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ContentQuarantine.java
@@ -16,7 +16,7 @@
 import org.lacewingcroft.fleet.QuarantineLog;
 import org.lacewingcroft.peer.Membership;
 import org.lacewingcroft.peer.PeerMessage;
-import org.lacewingcroft.quarantine.EndpointEnd;
+import org.lacewingcroft.quarantine.EndpointCrash;
 import org.lacewingcroft.quarantine.RecentCompletions;
 import org.lacewingcroft.quarantine.Suspicion;
 import org.lacewingcroft.quarantine.SuspicionLedger;
@@ -47,12 +47,12 @@
 
   /** Returns how long a content is still quarantined, empty if it may run. */
   synchronized Optional<Duration> remaining(RequestFingerprint content) {
-    return ledger.quarantinedFor(content, clock.instant());
+    return ledger.remainingQuarantine(content, clock.instant());
   }
 
   /** Notes that an endpoint has answered a content in full. */
   synchronized void completed(RequestFingerprint content) {
-    completions.completed(content, clock.instant());
+    completions.record(content, clock.instant());
   }
 
   /**
@@ -90,7 +90,7 @@
 
   private void ended(String endpoint, RequestFingerprint content, Instant brokeOffAt) {
     Duration age = Duration.between(brokeOffAt, clock.instant());
-    Suspicion suspicion = Suspicion.of(content, new EndpointEnd(endpoint, age, false));
+    Suspicion suspicion = Suspicion.of(content, new EndpointCrash(endpoint, age, false));
     if (suspect(suspicion)) {
       tell(suspicion);
     }
@@ -98,7 +98,7 @@
 
   private synchronized boolean suspect(Suspicion suspicion) {
     Instant now = clock.instant();
-    return !completions.clears(suspicion.content(), now) && learn(suspicion, "seen here", now);
+    return !completions.isRecentlyCompleted(suspicion.content(), now) && learn(suspicion, "seen here", now);
   }
 
   private void tell(Suspicion suspicion) {
@@ -151,7 +151,7 @@
     List<Suspicion> refuted =
         learned.stream()
             .map(Suspicion::content)
-            .filter(content -> completions.clears(content, now))
+            .filter(content -> completions.isRecentlyCompleted(content, now))
             .filter(content -> clear(content, "answered here"))
             .map(Suspicion::cleared)
             .toList();
@@ -162,7 +162,7 @@
 
   private boolean learn(Suspicion suspicion, String cause, Instant now) {
     ledger.expire(now);
-    Optional<Suspicion> known = ledger.add(suspicion, now);
+    Optional<Suspicion> known = ledger.merge(suspicion, now);
     known.ifPresent(k -> QuarantineLog.learned(k, cause));
     return known.isPresent();
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/Exchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/Exchange.java
@@ -43,7 +43,7 @@
     this.requestId = requestId;
     this.hop = hop;
     this.content = request.fingerprint();
-    this.deadline = now.plus(request.patience());
+    this.deadline = now.plus(request.timeout());
   }
 
   RoutingContext context() {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ExtraSends.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ExtraSends.java
@@ -32,18 +32,18 @@
 
   /** Notes a request sent for the first time. */
   void firstSend() {
-    budget.earn(clock.instant());
+    budget.deposit(clock.instant());
   }
 
   /** Returns the pause before the next send after a failure, or empty if there must be none. */
   Optional<Duration> retryPause(Exchange exchange) {
-    Duration pause = BACKOFF.pause(exchange.sends(), ThreadLocalRandom.current());
+    Duration pause = BACKOFF.delay(exchange.sends(), ThreadLocalRandom.current());
     boolean allowed =
         exchange.request().idempotent()
             && !exchange.answered()
             && exchange.sends() < MAX_SENDS
             && pause.compareTo(exchange.remaining(clock.instant())) < 0
-            && budget.trySpend(clock.instant());
+            && budget.tryWithdraw(clock.instant());
     if (!allowed) {
       return Optional.empty();
     }
@@ -58,7 +58,7 @@
             && !exchange.answered()
             && exchange.hasLiveAttempt()
             && exchange.sends() == 1
-            && budget.trySpend(clock.instant());
+            && budget.tryWithdraw(clock.instant());
     if (allowed) {
       metrics.retries.labelValues("hedge").inc();
     }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetMessage.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetMessage.java
@@ -194,7 +194,7 @@
       String endpoint,
       int running,
       List<UnreadPrompt> unread,
-      Optional<EndpointRateLimit.Statement> rate) {}
+      Optional<EndpointRateLimit.Report> rate) {}
 
   /**
    * A prompt that an endpoint has been sent and has not read yet.
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetRecords.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetRecords.java
@@ -19,7 +19,7 @@
 import org.lacewingcroft.fleet.FleetMessage.ServiceLoad;
 import org.lacewingcroft.fleet.FleetMessage.UnreadPrompt;
 import org.lacewingcroft.limit.EndpointRateLimit;
-import org.lacewingcroft.quarantine.EndpointEnd;
+import org.lacewingcroft.quarantine.EndpointCrash;
 import org.lacewingcroft.quarantine.Suspicion;
 import org.lacewingcroft.request.RequestFingerprint;
 import org.msgpack.core.MessagePacker;
@@ -111,24 +111,24 @@
 
   static void packSuspicion(MessagePacker p, Suspicion s) throws IOException {
     p.packLong(s.content().value());
-    packAll(p, s.ends(), FleetRecords::packEnd);
+    packAll(p, s.crashes(), FleetRecords::packEnd);
     p.packBoolean(s.clearedAge().isPresent());
     if (s.clearedAge().isPresent()) {
       p.packLong(s.clearedAge().get().toMillis());
     }
   }
 
-  private static void packEnd(MessagePacker p, EndpointEnd e) throws IOException {
-    p.packString(e.incarnation()).packLong(e.age().toMillis()).packBoolean(e.silent());
+  private static void packEnd(MessagePacker p, EndpointCrash e) throws IOException {
+    p.packString(e.incarnation()).packLong(e.age().toMillis()).packBoolean(e.detectedByTimeout());
   }
 
-  private static EndpointEnd unpackEnd(MessageUnpacker u) throws IOException {
-    return new EndpointEnd(u.unpackString(), Duration.ofMillis(u.unpackLong()), u.unpackBoolean());
+  private static EndpointCrash unpackEnd(MessageUnpacker u) throws IOException {
+    return new EndpointCrash(u.unpackString(), Duration.ofMillis(u.unpackLong()), u.unpackBoolean());
   }
 
   static Suspicion unpackSuspicion(MessageUnpacker u) throws IOException {
     RequestFingerprint content = new RequestFingerprint(u.unpackLong());
-    Set<EndpointEnd> ends = Set.copyOf(unpackAll(u, FleetRecords::unpackEnd));
+    Set<EndpointCrash> ends = Set.copyOf(unpackAll(u, FleetRecords::unpackEnd));
     Optional<Duration> clearedAge =
         u.unpackBoolean() ? Optional.of(Duration.ofMillis(u.unpackLong())) : Optional.empty();
     return new Suspicion(content, ends, clearedAge);
@@ -153,7 +153,7 @@
     }
   }
 
-  private static void packRate(MessagePacker p, EndpointRateLimit.Statement rate)
+  private static void packRate(MessagePacker p, EndpointRateLimit.Report rate)
       throws IOException {
     p.packBoolean(rate.perSecond().isPresent());
     if (rate.perSecond().isPresent()) {
@@ -162,10 +162,10 @@
     p.packLong(rate.age().toMillis());
   }
 
-  private static EndpointRateLimit.Statement unpackRate(MessageUnpacker u) throws IOException {
+  private static EndpointRateLimit.Report unpackRate(MessageUnpacker u) throws IOException {
     OptionalDouble perSecond =
         u.unpackBoolean() ? OptionalDouble.of(u.unpackDouble()) : OptionalDouble.empty();
-    return new EndpointRateLimit.Statement(perSecond, Duration.ofMillis(u.unpackLong()));
+    return new EndpointRateLimit.Report(perSecond, Duration.ofMillis(u.unpackLong()));
   }
 
   private static EndpointLoad unpackEndpointLoad(MessageUnpacker u) throws IOException {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/Backoff.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/Backoff.java
@@ -13,7 +13,7 @@
 public record Backoff(Duration base, Duration cap) {
 
   /** Returns the pause before the given retry. */
-  public Duration pause(int retry, RandomGenerator random) {
+  public Duration delay(int retry, RandomGenerator random) {
     double bound = base.toNanos() * Math.pow(2, Math.max(0, retry - 1));
     return Duration.ofNanos((long) (random.nextDouble() * Math.min(bound, cap.toNanos())));
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/EndpointRateLimit.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/EndpointRateLimit.java
@@ -48,7 +48,7 @@
   private Instant filledAt = Instant.EPOCH;
 
   /** What an endpoint has stated to one entry, as that entry tells the others. */
-  public record Statement(OptionalDouble perSecond, Duration age) {}
+  public record Report(OptionalDouble perSecond, Duration age) {}
 
   /** Returns the requests a second that the endpoint takes; empty if it states no limit. */
   public OptionalDouble perSecond() {
@@ -63,7 +63,7 @@
    * @param requestSentAt when the answer's request was sent
    * @return whether this changes the limit
    */
-  public boolean stated(OptionalDouble stated, Instant requestSentAt, Instant now) {
+  public boolean updateFromResponse(OptionalDouble stated, Instant requestSentAt, Instant now) {
     if (stated.isEmpty() && (perSecond.isEmpty() || !requestSentAt.isAfter(statedAt))) {
       return false;
     }
@@ -76,7 +76,7 @@
    *
    * @return whether this changes the limit
    */
-  public boolean heard(Statement statement, Instant now) {
+  public boolean updateFromPeer(Report statement, Instant now) {
     Instant at = now.minus(statement.age());
     if (!at.isAfter(statedAt)) {
       return false;
@@ -101,15 +101,15 @@
   }
 
   /** Returns what the other entries are to be told of this entry's answers. */
-  public Optional<Statement> toTell(Instant now) {
+  public Optional<Report> report(Instant now) {
     Duration worth = perSecond.isPresent() ? CONFIRMED : END_TOLD;
     return readAt
         .filter(at -> at.plus(worth).isAfter(now))
-        .map(at -> new Statement(perSecond, Duration.between(at, now)));
+        .map(at -> new Report(perSecond, Duration.between(at, now)));
   }
 
   /** Returns how many entries send to the endpoint while it states a limit. */
-  public int senders() {
+  public int maxSenders() {
     double rate = perSecond.orElse(MOST_SENDERS);
     return (int) Math.min(MOST_SENDERS, LEAST_SENDERS + rate);
   }
@@ -167,7 +167,7 @@
   }
 
   /** Notes that this entry sends a request to the endpoint. */
-  public void sent(Instant now) {
+  public void recordSend(Instant now) {
     sentAt = now;
     requests = Math.max(0, requests - 1);
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/FleetQuotas.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/FleetQuotas.java
@@ -89,7 +89,7 @@
    *
    * @return empty if it was taken, or how long until it may be
    */
-  public Optional<Duration> take(Organisation organisation, long cost, Instant now) {
+  public Optional<Duration> charge(Organisation organisation, long cost, Instant now) {
     Account account = accounts.get(organisation.name());
     if (account == null) {
       return Optional.empty();
@@ -106,7 +106,7 @@
   }
 
   /** Gives back what was taken for a request that has not run. */
-  public void giveBack(Organisation organisation, long cost) {
+  public void refund(Organisation organisation, long cost) {
     Account account = accounts.get(organisation.name());
     if (account != null) {
       account.level += cost;
@@ -120,7 +120,7 @@
   }
 
   /** Returns what this entry's callers have used since the last call, by organisation. */
-  public Map<String, Long> takeUntold() {
+  public Map<String, Long> drainUnreportedUsage() {
     Map<String, Long> uses = new HashMap<>();
     accounts.forEach(
         (name, account) -> {
@@ -138,7 +138,7 @@
    *
    * @param uses by organisation, this entry's own included that it has told before
    */
-  public void heardOfAll(Map<String, Long> uses, Instant now) {
+  public void applyFleetUsage(Map<String, Long> uses, Instant now) {
     Map<String, Long> others = new HashMap<>();
     uses.forEach(
         (name, all) -> {
@@ -149,11 +149,11 @@
           }
           others.put(name, all - own);
         });
-    heardOfOthers(others, now);
+    applyPeerUsage(others, now);
   }
 
   /** Takes what other entries have used. */
-  public void heardOfOthers(Map<String, Long> uses, Instant now) {
+  public void applyPeerUsage(Map<String, Long> uses, Instant now) {
     double seconds = Math.max(0, Duration.between(heardAt, now).toNanos() / 1e9);
     double weight = 1 - Math.exp(-seconds / RATE_SECONDS);
     accounts.forEach(
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/RetryBudget.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/RetryBudget.java
@@ -23,12 +23,12 @@
   }
 
   /** Notes a request sent for the first time. */
-  public void earn(Instant now) {
+  public void deposit(Instant now) {
     bucket.add(share, now);
   }
 
   /** Takes a retry from the budget if it allows one. */
-  public boolean trySpend(Instant now) {
+  public boolean tryWithdraw(Instant now) {
     return bucket.tryTake(now);
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/EndpointTracker.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/EndpointTracker.java
@@ -296,7 +296,7 @@
     if (isCold(now)) {
       coldSentAt = now;
     }
-    rateLimit().sent(now);
+    rateLimit().recordSend(now);
     return ticket;
   }
 
@@ -377,7 +377,7 @@
    * @return 0 if this entry is none of them
    */
   private int rateSenders(String entry, List<String> regionEntries) {
-    int senders = Math.min(rateLimit().senders(), regionEntries.size());
+    int senders = Math.min(rateLimit().maxSenders(), regionEntries.size());
     return isAmongFirst(entry, regionEntries, senders) ? senders : 0;
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/EndpointEnd.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/EndpointCrash.java
@@ -7,16 +7,16 @@
  *
  * @param incarnation the incarnation that ended, as {@code id@start}
  * @param age how long ago it ended
- * @param silent whether it just fell silent, so that the moment of its end is known only roughly
+ * @param detectedByTimeout whether it just fell silent, so that the moment of its end is known only roughly
  */
-public record EndpointEnd(String incarnation, Duration age, boolean silent) {
+public record EndpointCrash(String incarnation, Duration age, boolean detectedByTimeout) {
   /** Nothing is younger than now. */
-  public EndpointEnd {
+  public EndpointCrash {
     age = age.isNegative() ? Duration.ZERO : age;
   }
 
   /** Returns the same end some time later. */
-  public EndpointEnd agedBy(Duration time) {
-    return new EndpointEnd(incarnation, age.plus(time), silent);
+  public EndpointCrash agedBy(Duration time) {
+    return new EndpointCrash(incarnation, age.plus(time), detectedByTimeout);
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/QuarantineTrials.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/QuarantineTrials.java
@@ -38,7 +38,7 @@
    * @param self this entry
    * @param entries all entries, this one included
    */
-  public boolean tryNow(Suspicion known, String self, List<String> entries, Instant now) {
+  public boolean tryStartTrial(Suspicion known, String self, List<String> entries, Instant now) {
     RequestFingerprint content = known.content();
     if (!isDue(known) || !isTurnOf(self, known, entries) || isRunning(content, now)) {
       return false;
@@ -49,7 +49,7 @@
   }
 
   private static boolean isDue(Suspicion known) {
-    int failed = known.independentEnds() - Suspicion.QUARANTINED;
+    int failed = known.independentCrashes() - Suspicion.QUARANTINE_THRESHOLD;
     return failed < MOST_FAILED && known.age().compareTo(AFTER) >= 0;
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/RecentCompletions.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/RecentCompletions.java
@@ -24,12 +24,12 @@
       BoundedMap.forgettingUnused(MOST_CONTENTS);
 
   /** Notes that an endpoint has answered a content in full. */
-  public void completed(RequestFingerprint content, Instant now) {
+  public void record(RequestFingerprint content, Instant now) {
     completedAt.put(content, now);
   }
 
   /** Returns whether a content was answered in full a moment ago. */
-  public boolean clears(RequestFingerprint content, Instant now) {
+  public boolean isRecentlyCompleted(RequestFingerprint content, Instant now) {
     Instant at = completedAt.get(content);
     return at != null && at.plus(VALID).isAfter(now);
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/Suspicion.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/Suspicion.java
@@ -13,13 +13,13 @@
  * What is known about a content under which endpoints ended.
  *
  * @param content the content
- * @param ends the endpoints that ended while they had it to run
+ * @param crashes the endpoints that ended while they had it to run
  * @param clearedAge how long ago it was cleared of all earlier ends, if it was
  */
 public record Suspicion(
-    RequestFingerprint content, Set<EndpointEnd> ends, Optional<Duration> clearedAge) {
+    RequestFingerprint content, Set<EndpointCrash> crashes, Optional<Duration> clearedAge) {
   /** Independent ends of endpoints by which a content is quarantined. */
-  public static final int QUARANTINED = 3;
+  public static final int QUARANTINE_THRESHOLD = 3;
 
   /**
    * Ends of one moment that count. What takes several endpoints down together, a failure domain
@@ -36,11 +36,11 @@
 
   /** Copies the set so that the suspicion is immutable. */
   public Suspicion {
-    ends = Set.copyOf(ends);
+    crashes = Set.copyOf(crashes);
   }
 
   /** A content under which an endpoint has just ended. */
-  public static Suspicion of(RequestFingerprint content, EndpointEnd end) {
+  public static Suspicion of(RequestFingerprint content, EndpointCrash end) {
     return new Suspicion(content, Set.of(end), Optional.empty());
   }
 
@@ -50,19 +50,19 @@
   }
 
   /** Returns how many ends speak against the content, those of one moment counted as few. */
-  public int independentEnds() {
-    List<EndpointEnd> oldestFirst =
-        ends.stream()
+  public int independentCrashes() {
+    List<EndpointCrash> oldestFirst =
+        crashes.stream()
             .sorted(
-                Comparator.comparing(EndpointEnd::age)
+                Comparator.comparing(EndpointCrash::age)
                     .reversed()
-                    .thenComparing(EndpointEnd::incarnation))
+                    .thenComparing(EndpointCrash::incarnation))
             .toList();
     int counted = 0;
     int together = 0;
     Duration momentBegan = Duration.ZERO;
-    for (EndpointEnd end : oldestFirst) {
-      Duration moment = end.silent() ? SILENT_MOMENT : MOMENT;
+    for (EndpointCrash end : oldestFirst) {
+      Duration moment = end.detectedByTimeout() ? SILENT_MOMENT : MOMENT;
       boolean sameMoment = together > 0 && momentBegan.minus(end.age()).compareTo(moment) <= 0;
       if (!sameMoment) {
         together = 0;
@@ -78,17 +78,17 @@
 
   /** Returns whether the content is quarantined. */
   public boolean isQuarantined() {
-    return independentEnds() >= QUARANTINED;
+    return independentCrashes() >= QUARANTINE_THRESHOLD;
   }
 
   /** Returns the incarnations that ended. */
-  public Set<String> incarnations() {
-    return ends.stream().map(EndpointEnd::incarnation).collect(Collectors.toUnmodifiableSet());
+  public Set<String> crashedIncarnations() {
+    return crashes.stream().map(EndpointCrash::incarnation).collect(Collectors.toUnmodifiableSet());
   }
 
   /** Returns how long ago the last endpoint ended or the content was cleared. */
   public Duration age() {
-    return Stream.concat(ends.stream().map(EndpointEnd::age), clearedAge.stream())
+    return Stream.concat(crashes.stream().map(EndpointCrash::age), clearedAge.stream())
         .min(Comparator.naturalOrder())
         .orElse(Duration.ZERO);
   }
@@ -97,7 +97,7 @@
   public Suspicion agedBy(Duration time) {
     return new Suspicion(
         content,
-        ends.stream().map(e -> e.agedBy(time)).collect(Collectors.toUnmodifiableSet()),
+        crashes.stream().map(e -> e.agedBy(time)).collect(Collectors.toUnmodifiableSet()),
         clearedAge.map(time::plus));
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/SuspicionLedger.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/SuspicionLedger.java
@@ -30,7 +30,7 @@
  */
 public final class SuspicionLedger {
   /** From so many ends on the instances make sure that they have heard of the same ones. */
-  public static final int RECURRING = Suspicion.QUARANTINED - 1;
+  public static final int RECURRING_THRESHOLD = Suspicion.QUARANTINE_THRESHOLD - 1;
 
   /** How long a content is remembered after an endpoint last ended under it. */
   static final Duration MEMORY = Duration.ofHours(1);
@@ -61,7 +61,7 @@
     private static Entry of(
         RequestFingerprint content, Map<String, End> ends, Instant clearedAt, Instant now) {
       Entry uncounted = new Entry(ends, clearedAt, 0);
-      return new Entry(ends, clearedAt, uncounted.suspicion(content, now).independentEnds());
+      return new Entry(ends, clearedAt, uncounted.suspicion(content, now).independentCrashes());
     }
 
     private Suspicion suspicion(RequestFingerprint content, Instant now) {
@@ -73,8 +73,8 @@
           wasCleared() ? Optional.of(Duration.between(clearedAt, now)) : Optional.empty());
     }
 
-    private static EndpointEnd endAt(String incarnation, End end, Instant now) {
-      return new EndpointEnd(incarnation, Duration.between(end.at(), now), end.silent());
+    private static EndpointCrash endAt(String incarnation, End end, Instant now) {
+      return new EndpointCrash(incarnation, Duration.between(end.at(), now), end.silent());
     }
 
     private boolean wasCleared() {
@@ -100,7 +100,7 @@
      * does not matter once the content is quarantined or no more of them are remembered.
      */
     private int digest(RequestFingerprint content) {
-      boolean many = independentEnds >= Suspicion.QUARANTINED || ends.size() >= MOST_ENDS;
+      boolean many = independentEnds >= Suspicion.QUARANTINE_THRESHOLD || ends.size() >= MOST_ENDS;
       int evidence = many ? 0 : ends.keySet().hashCode();
       byte[] bytes =
           ByteBuffer.allocate(Long.BYTES + Integer.BYTES)
@@ -116,15 +116,15 @@
    *
    * @return what is known of the content, if more than before
    */
-  public Optional<Suspicion> add(Suspicion suspicion, Instant now) {
+  public Optional<Suspicion> merge(Suspicion suspicion, Instant now) {
     RequestFingerprint content = suspicion.content();
     Optional<Entry> known = Optional.ofNullable(entries.get(content));
     Instant knownCleared = known.map(Entry::clearedAt).orElse(Instant.MIN);
     Instant heardCleared = suspicion.clearedAge().map(now::minus).orElse(Instant.MIN);
     Instant clearedAt = knownCleared.isAfter(heardCleared) ? knownCleared : heardCleared;
     Map<String, End> ends = new TreeMap<>(known.map(Entry::ends).orElse(Map.of()));
-    for (EndpointEnd end : suspicion.ends()) {
-      ends.merge(end.incarnation(), new End(now.minus(end.age()), end.silent()), End::mergedWith);
+    for (EndpointCrash end : suspicion.crashes()) {
+      ends.merge(end.incarnation(), new End(now.minus(end.age()), end.detectedByTimeout()), End::mergedWith);
     }
     ends.entrySet().removeIf(e -> isRefuted(e.getKey(), e.getValue(), clearedAt));
     keepLatest(ends);
@@ -153,7 +153,7 @@
   }
 
   /** Takes back that an incarnation ended, of all contents: it is still there. */
-  public void disprove(String incarnation, Instant now) {
+  public void retractCrash(String incarnation, Instant now) {
     disproved.remove(incarnation);
     disproved.put(incarnation, now);
     for (Map.Entry<RequestFingerprint, Entry> known : Map.copyOf(entries).entrySet()) {
@@ -182,10 +182,10 @@
   }
 
   private void countDigests(RequestFingerprint content, Entry entry, int sign) {
-    if (entry.independentEnds() >= RECURRING) {
+    if (entry.independentEnds() >= RECURRING_THRESHOLD) {
       recurringDigest += sign * entry.digest(content);
     }
-    if (entry.independentEnds() >= Suspicion.QUARANTINED) {
+    if (entry.independentEnds() >= Suspicion.QUARANTINE_THRESHOLD) {
       quarantinedDigest += sign * entry.digest(content);
     }
   }
@@ -226,17 +226,17 @@
   /** Returns what is known of a content that is quarantined, empty if it is not. */
   public Optional<Suspicion> quarantined(RequestFingerprint content, Instant now) {
     return Optional.ofNullable(entries.get(content))
-        .filter(e -> e.independentEnds() >= Suspicion.QUARANTINED && e.isRemembered(now))
+        .filter(e -> e.independentEnds() >= Suspicion.QUARANTINE_THRESHOLD && e.isRemembered(now))
         .map(e -> e.suspicion(content, now));
   }
 
   /** Returns the contents that are quarantined. */
   public List<Suspicion> quarantined(Instant now) {
-    return suspicions(e -> e.independentEnds() >= Suspicion.QUARANTINED, now);
+    return suspicions(e -> e.independentEnds() >= Suspicion.QUARANTINE_THRESHOLD, now);
   }
 
   /** Returns how long a content is still quarantined, empty if it is not. */
-  public Optional<Duration> quarantinedFor(RequestFingerprint content, Instant now) {
+  public Optional<Duration> remainingQuarantine(RequestFingerprint content, Instant now) {
     return quarantined(content, now).map(s -> MEMORY.minus(s.age()));
   }
 
@@ -244,9 +244,9 @@
    * Returns what another instance that reports another digest may have missed: the contents under
    * which at least so many endpoints ended, and those that were cleared.
    *
-   * @param ends {@link #RECURRING} or {@link Suspicion#QUARANTINED}
+   * @param ends {@link #RECURRING_THRESHOLD} or {@link Suspicion#QUARANTINE_THRESHOLD}
    */
-  public List<Suspicion> atLeast(int ends, Instant now) {
+  public List<Suspicion> withCrashesOrCleared(int ends, Instant now) {
     return suspicions(e -> e.independentEnds() >= ends || e.wasCleared(), now);
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/UnansweredRuns.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/UnansweredRuns.java
@@ -53,10 +53,10 @@
 
   private record Run(RequestFingerprint content, Kind kind, Instant at) {
     private Suspicion suspicion(String endpoint, Instant now) {
-      EndpointEnd end =
+      EndpointCrash end =
           kind == Kind.BROKEN_OFF
-              ? new EndpointEnd(endpoint, Duration.between(at, now), false)
-              : new EndpointEnd(endpoint, Duration.ZERO, true);
+              ? new EndpointCrash(endpoint, Duration.between(at, now), false)
+              : new EndpointCrash(endpoint, Duration.ZERO, true);
       return Suspicion.of(content, end);
     }
   }
@@ -66,7 +66,7 @@
    *
    * @return what speaks against its content if the endpoint is known to have ended
    */
-  public Optional<Suspicion> unanswered(
+  public Optional<Suspicion> record(
       String endpoint, RequestFingerprint content, Kind kind, Instant now) {
     Endpoint known = endpoints.computeIfAbsent(endpoint, e -> new Endpoint());
     Run run = new Run(content, kind, now);
@@ -86,7 +86,7 @@
    * @param lastByteAt when it was last heard of by an answer
    * @return what speaks against the contents that it was running then
    */
-  public List<Suspicion> ended(String endpoint, Instant lastByteAt, Instant now) {
+  public List<Suspicion> endpointCrashed(String endpoint, Instant lastByteAt, Instant now) {
     Endpoint known = endpoints.computeIfAbsent(endpoint, e -> new Endpoint());
     known.endedAt = now;
     Instant from = lastByteAt.minus(LAST_WORDS);
@@ -101,7 +101,7 @@
   }
 
   /** Notes that an endpoint that was taken for ended is still there. */
-  public void returned(String endpoint) {
+  public void endpointRecovered(String endpoint) {
     endpoints.remove(endpoint);
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/request/CallerRequest.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/request/CallerRequest.java
@@ -32,7 +32,7 @@
  * @param residency regions the request may be served in; empty means any
  * @param idempotencyKey the caller's key, if any
  * @param idempotent false if the request must run at most once
- * @param patience how long the caller will wait from now
+ * @param timeout how long the caller will wait from now
  * @param forwardedFrom the region that forwarded it here, if any
  * @param prefixKey the first characters of the first message, for cache affinity
  * @param body the raw body, relayed unchanged to the engine
@@ -46,7 +46,7 @@
     Set<String> residency,
     Optional<String> idempotencyKey,
     boolean idempotent,
-    Duration patience,
+    Duration timeout,
     Optional<String> forwardedFrom,
     String prefixKey,
     byte[] body,
@@ -77,7 +77,7 @@
   public static final String DEADLINE_HEADER = "X-Deadline-Millis";
 
   /** How long a request may take whose caller named no deadline. */
-  public static final Duration DEFAULT_PATIENCE = Duration.ofMinutes(2);
+  public static final Duration DEFAULT_TIMEOUT = Duration.ofMinutes(2);
 
   private static final Duration MAX_PATIENCE = Duration.ofMinutes(30);
 
@@ -234,7 +234,7 @@
 
   private static Duration parsePatience(String header) {
     if (header == null) {
-      return DEFAULT_PATIENCE;
+      return DEFAULT_TIMEOUT;
     }
     if (!header.matches("\\d{1,9}") || Long.parseLong(header) == 0) {
       throw malformed(
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/FleetCodecTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/FleetCodecTest.java
@@ -29,7 +29,7 @@
 import org.lacewingcroft.fleet.FleetMessage.ServiceLoad;
 import org.lacewingcroft.fleet.FleetMessage.UnreadPrompt;
 import org.lacewingcroft.limit.EndpointRateLimit;
-import org.lacewingcroft.quarantine.EndpointEnd;
+import org.lacewingcroft.quarantine.EndpointCrash;
 import org.lacewingcroft.quarantine.Suspicion;
 import org.lacewingcroft.request.RequestFingerprint;
 
@@ -49,14 +49,14 @@
                   2,
                   List.of(new UnreadPrompt(3, 13_300, 20)),
                   Optional.of(
-                      new EndpointRateLimit.Statement(
+                      new EndpointRateLimit.Report(
                           OptionalDouble.of(1.1), Duration.ofMillis(40)))),
               new EndpointLoad(
                   "i-2",
                   1,
                   List.of(),
                   Optional.of(
-                      new EndpointRateLimit.Statement(OptionalDouble.empty(), Duration.ZERO))),
+                      new EndpointRateLimit.Report(OptionalDouble.empty(), Duration.ZERO))),
               new EndpointLoad("i-3", 0, List.of(), Optional.empty())));
   private static final PrefixRead PREFIX =
       new PrefixRead("i-1", List.of(new ReadPart("5c1e07a2", 800), new ReadPart("", 0)));
@@ -65,7 +65,7 @@
   private static final Suspicion SUSPICION =
       new Suspicion(
           new RequestFingerprint(-1),
-          Set.of(new EndpointEnd("i-1@0", Duration.ofMillis(250), true)),
+          Set.of(new EndpointCrash("i-1@0", Duration.ofMillis(250), true)),
           Optional.of(Duration.ofSeconds(9)));
   private static final News NEWS =
       new News(List.of(LOAD), List.of(PREFIX), List.of(REGION), Map.of("desk", 1L << 33));
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/EndpointRateLimitTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/EndpointRateLimitTest.java
@@ -85,7 +85,7 @@
 
     private int senders(int entry) {
       List<String> names = ranked.get(entry);
-      int senders = Math.min(limits.get(entry).senders(), names.size());
+      int senders = Math.min(limits.get(entry).maxSenders(), names.size());
       return names.subList(0, senders).contains("entry-" + entry) ? senders : 0;
     }
 
@@ -105,10 +105,10 @@
     private void ask(int entry) {
       EndpointRateLimit limit = limits.get(entry);
       if (limit.admits(senders(entry), now)) {
-        limit.sent(now);
+        limit.recordSend(now);
         arrivals.add(now);
-        limit.stated(OptionalDouble.of(row.perSecond()), now, now);
-        limit.toTell(now).ifPresent(told -> limits.forEach(l -> l.heard(told, now)));
+        limit.updateFromResponse(OptionalDouble.of(row.perSecond()), now, now);
+        limit.report(now).ifPresent(told -> limits.forEach(l -> l.updateFromPeer(told, now)));
       }
     }
 
@@ -155,10 +155,10 @@
   @Test
   void answerToAnEarlierRequestDoesNotEndTheLimit() {
     EndpointRateLimit limit = new EndpointRateLimit();
-    limit.stated(OptionalDouble.of(2), START, START.plusMillis(50));
-    assertThat(limit.stated(NONE, START.plusMillis(40), START.plusMillis(60)), is(false));
+    limit.updateFromResponse(OptionalDouble.of(2), START, START.plusMillis(50));
+    assertThat(limit.updateFromResponse(NONE, START.plusMillis(40), START.plusMillis(60)), is(false));
     assertThat(limit.perSecond(), is(OptionalDouble.of(2)));
-    assertThat(limit.stated(NONE, START.plusMillis(70), START.plusMillis(90)), is(true));
+    assertThat(limit.updateFromResponse(NONE, START.plusMillis(70), START.plusMillis(90)), is(true));
     assertThat(limit.perSecond(), is(NONE));
   }
 
@@ -166,13 +166,13 @@
   void newsOlderThanWhatIsKnownChangesNothing() {
     EndpointRateLimit one = new EndpointRateLimit();
     EndpointRateLimit other = new EndpointRateLimit();
-    one.stated(OptionalDouble.of(2), START, START.plusMillis(10));
-    EndpointRateLimit.Statement limited = one.toTell(START.plusMillis(20)).orElseThrow();
-    other.heard(limited, START.plusMillis(20));
-    other.stated(NONE, START.plusMillis(30), START.plusMillis(40));
-    assertThat(other.heard(one.toTell(START.plusMillis(50)).orElseThrow(), START), is(false));
+    one.updateFromResponse(OptionalDouble.of(2), START, START.plusMillis(10));
+    EndpointRateLimit.Report limited = one.report(START.plusMillis(20)).orElseThrow();
+    other.updateFromPeer(limited, START.plusMillis(20));
+    other.updateFromResponse(NONE, START.plusMillis(30), START.plusMillis(40));
+    assertThat(other.updateFromPeer(one.report(START.plusMillis(50)).orElseThrow(), START), is(false));
     assertThat(
-        one.heard(other.toTell(START.plusMillis(60)).orElseThrow(), START.plus(NEWS_AGE)),
+        one.updateFromPeer(other.report(START.plusMillis(60)).orElseThrow(), START.plus(NEWS_AGE)),
         is(true));
     assertThat(one.perSecond(), is(NONE));
   }
@@ -180,29 +180,29 @@
   @Test
   void entryThatOnlyHeardOfLimitTellsNobody() {
     EndpointRateLimit limit = new EndpointRateLimit();
-    limit.heard(new EndpointRateLimit.Statement(OptionalDouble.of(2), Duration.ZERO), START);
+    limit.updateFromPeer(new EndpointRateLimit.Report(OptionalDouble.of(2), Duration.ZERO), START);
     assertThat(limit.perSecond(), is(OptionalDouble.of(2)));
-    assertThat(limit.toTell(START), is(Optional.empty()));
+    assertThat(limit.report(START), is(Optional.empty()));
   }
 
   /** The entries that send may all be gone, or may have no work for the endpoint. */
   @Test
   void limitThatNobodyConfirmsIsTriedByOneRequest() {
     EndpointRateLimit limit = new EndpointRateLimit();
-    limit.heard(new EndpointRateLimit.Statement(OptionalDouble.of(2), Duration.ZERO), START);
+    limit.updateFromPeer(new EndpointRateLimit.Report(OptionalDouble.of(2), Duration.ZERO), START);
     assertThat(limit.admits(0, START.plusSeconds(14)), is(false));
     Instant later = START.plusSeconds(16);
     assertThat(limit.admits(0, later), is(true));
-    limit.sent(later);
+    limit.recordSend(later);
     assertThat(limit.admits(0, later.plusSeconds(1)), is(false));
-    limit.stated(NONE, later, later.plusSeconds(2));
+    limit.updateFromResponse(NONE, later, later.plusSeconds(2));
     assertThat(limit.admits(0, later.plusSeconds(2)), is(true));
   }
 
   @Test
   void refusedCallersAreToldWhenTheShareIsThere() {
     EndpointRateLimit limit = new EndpointRateLimit();
-    limit.stated(OptionalDouble.of(2), START, START);
+    limit.updateFromResponse(OptionalDouble.of(2), START, START);
     assertThat(limit.untilAdmitted(2, START), is(Duration.ofSeconds(1)));
     assertThat(limit.untilAdmitted(2, START.plusMillis(400)), is(Duration.ofMillis(600)));
     assertThat(limit.untilAdmitted(2, START.plusSeconds(1)), is(Duration.ZERO));
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/FleetQuotasTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/FleetQuotasTest.java
@@ -92,7 +92,7 @@
 
     private void ask(long cost) {
       FleetQuotas entry = entries.get(random.nextInt(ENTRIES));
-      if (entry.take(organisation, cost, now).isPresent()) {
+      if (entry.charge(organisation, cost, now).isPresent()) {
         refused++;
         return;
       }
@@ -103,11 +103,11 @@
 
     private void tell() {
       Map<String, Long> uses = new HashMap<>();
-      entries.forEach(e -> e.takeUntold().forEach((n, use) -> uses.merge(n, use, Long::sum)));
+      entries.forEach(e -> e.drainUnreportedUsage().forEach((n, use) -> uses.merge(n, use, Long::sum)));
       onTheWay.add(new News(now, uses));
       while (!onTheWay.isEmpty() && !onTheWay.peek().at().plus(NEWS_AGE).isAfter(now)) {
         Map<String, Long> arrived = onTheWay.remove().uses();
-        entries.forEach(e -> e.heardOfAll(arrived, now));
+        entries.forEach(e -> e.applyFleetUsage(arrived, now));
       }
     }
 
@@ -187,22 +187,22 @@
   void quotaThatIsLoweredBindsAtOnce() {
     Organisation desk = organisation(1_000, 10_000);
     FleetQuotas quotas = quotasOf(desk, START);
-    assertThat(quotas.take(desk, 1, START), is(Optional.empty()));
+    assertThat(quotas.charge(desk, 1, START), is(Optional.empty()));
     Organisation lowered = organisation(100, 1_000);
     quotas.configure(List.of(lowered), START);
-    assertThat(quotas.take(lowered, 1_000, START), is(Optional.empty()));
-    assertThat(quotas.take(lowered, 100, START), is(Optional.of(Duration.ofSeconds(1))));
+    assertThat(quotas.charge(lowered, 1_000, START), is(Optional.empty()));
+    assertThat(quotas.charge(lowered, 100, START), is(Optional.of(Duration.ofSeconds(1))));
   }
 
   @Test
   void whatHasNotRunIsGivenBack() {
     Organisation desk = organisation(100, 1_000);
     FleetQuotas quotas = quotasOf(desk, START);
-    quotas.take(desk, 1_000, START);
-    quotas.giveBack(desk, 1_000);
-    assertThat(quotas.take(desk, 1_000, START), is(Optional.empty()));
-    assertThat(quotas.takeUntold(), is(Map.of("desk", 1_000L)));
-    assertThat(quotas.takeUntold(), is(Map.of()));
+    quotas.charge(desk, 1_000, START);
+    quotas.refund(desk, 1_000);
+    assertThat(quotas.charge(desk, 1_000, START), is(Optional.empty()));
+    assertThat(quotas.drainUnreportedUsage(), is(Map.of("desk", 1_000L)));
+    assertThat(quotas.drainUnreportedUsage(), is(Map.of()));
   }
 
   /** A request larger than the burst would wait for ever. */
@@ -210,23 +210,23 @@
   void requestLargerThanTheBurstTakesWhatThereIs() {
     Organisation desk = organisation(100, 1_000);
     FleetQuotas quotas = quotasOf(desk, START);
-    assertThat(quotas.take(desk, 5_000, START), is(Optional.empty()));
-    assertThat(quotas.take(desk, 100, START), is(Optional.of(Duration.ofSeconds(41))));
+    assertThat(quotas.charge(desk, 5_000, START), is(Optional.empty()));
+    assertThat(quotas.charge(desk, 100, START), is(Optional.of(Duration.ofSeconds(41))));
   }
 
   @Test
   void othersAreTakenToGoOnWhileNothingIsHeardOfThem() {
     Organisation desk = organisation(1_000, 1_000);
     FleetQuotas quotas = quotasOf(desk, START);
-    quotas.take(desk, 1, START);
+    quotas.charge(desk, 1, START);
     Instant now = START;
     for (int i = 0; i < 100; i++) {
       now = now.plusMillis(100);
-      quotas.heardOfOthers(Map.of("desk", 100L), now);
+      quotas.applyPeerUsage(Map.of("desk", 100L), now);
     }
     Instant later = now.plusSeconds(5);
-    quotas.take(desk, 1, later.minusSeconds(2));
-    assertThat(quotas.take(desk, 960, later).isPresent(), is(true));
+    quotas.charge(desk, 1, later.minusSeconds(2));
+    assertThat(quotas.charge(desk, 960, later).isPresent(), is(true));
   }
 
   /** An entry that has just started does not know what the others have used. */
@@ -235,8 +235,8 @@
     FleetQuotas quotas = new FleetQuotas(START);
     Organisation desk = organisation(1_000, 1_000);
     quotas.configure(List.of(desk), START);
-    assertThat(quotas.take(desk, 500, START), is(Optional.of(Duration.ofMillis(500))));
-    assertThat(quotas.take(desk, 500, START.plusMillis(500)), is(Optional.empty()));
+    assertThat(quotas.charge(desk, 500, START), is(Optional.of(Duration.ofMillis(500))));
+    assertThat(quotas.charge(desk, 500, START.plusMillis(500)), is(Optional.empty()));
   }
 
   static Stream<Arguments> costs() {
@@ -257,7 +257,7 @@
     Organisation free =
         new Organisation("free", Set.of(), OptionalInt.empty(), Optional.empty(), Set.of());
     FleetQuotas quotas = quotasOf(free, START);
-    assertThat(quotas.take(free, Long.MAX_VALUE, START), is(Optional.empty()));
-    assertThat(quotas.takeUntold(), is(Map.of()));
+    assertThat(quotas.charge(free, Long.MAX_VALUE, START), is(Optional.empty()));
+    assertThat(quotas.drainUnreportedUsage(), is(Map.of()));
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/LimitsTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/LimitsTest.java
@@ -60,11 +60,11 @@
     RetryBudget budget = new RetryBudget(0.1, 5, T0);
     int spent = 0;
     for (int i = 0; i < 5; i++) {
-      spent += budget.trySpend(T0) ? 1 : 0;
+      spent += budget.tryWithdraw(T0) ? 1 : 0;
     }
     for (int i = 0; i < requests; i++) {
-      budget.earn(T0);
-      spent += budget.trySpend(T0) ? 1 : 0;
+      budget.deposit(T0);
+      spent += budget.tryWithdraw(T0) ? 1 : 0;
     }
     assertThat(spent, is(lessThanOrEqualTo(most)));
   }
@@ -75,7 +75,7 @@
     Backoff backoff = new Backoff(Duration.ofMillis(20), Duration.ofMillis(100));
     Random random = new Random(1);
     for (int i = 0; i < 100; i++) {
-      assertThat(backoff.pause(retry, random).toMillis(), is(lessThanOrEqualTo(boundMillis)));
+      assertThat(backoff.delay(retry, random).toMillis(), is(lessThanOrEqualTo(boundMillis)));
     }
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/TrackedEndpointsTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/TrackedEndpointsTest.java
@@ -125,7 +125,7 @@
         .tracker("e")
         .orElseThrow()
         .rateLimit()
-        .stated(OptionalDouble.of(1.1), START, START.plusMillis(10));
+        .updateFromResponse(OptionalDouble.of(1.1), START, START.plusMillis(10));
     tell(true, START.plusSeconds(10));
     tell(true, START.plusSeconds(11));
     assertThat(endpoints.tracker("e").isPresent(), is(false));
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/quarantine/QuarantineTrialsTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/quarantine/QuarantineTrialsTest.java
@@ -31,9 +31,9 @@
    * A content under which so many endpoints ended one after the other, the last one so long ago.
    */
   private static Suspicion quarantined(int endpoints, Duration lastAge) {
-    Set<EndpointEnd> ends = new HashSet<>();
+    Set<EndpointCrash> ends = new HashSet<>();
     for (int i = 0; i < endpoints; i++) {
-      ends.add(new EndpointEnd("e" + i, lastAge.plusSeconds(10L * i), false));
+      ends.add(new EndpointCrash("e" + i, lastAge.plusSeconds(10L * i), false));
     }
     return new Suspicion(CONTENT, ends, Optional.empty());
   }
@@ -53,7 +53,7 @@
       String name, int ends, Duration lastAge, boolean tried) {
     Suspicion known = quarantined(ends, lastAge);
     long trying =
-        ENTRIES.stream().filter(e -> new QuarantineTrials().tryNow(known, e, ENTRIES, NOW)).count();
+        ENTRIES.stream().filter(e -> new QuarantineTrials().tryStartTrial(known, e, ENTRIES, NOW)).count();
     assertThat(trying, is(tried ? 1L : 0L));
   }
 
@@ -69,7 +69,7 @@
       Duration passed = QuarantineTrials.TURN.dividedBy(4).multipliedBy(i);
       Suspicion known = quarantined(3, QuarantineTrials.AFTER.plus(passed));
       for (String entry : ENTRIES) {
-        if (trials.get(entry).tryNow(known, entry, ENTRIES, NOW.plus(passed))) {
+        if (trials.get(entry).tryStartTrial(known, entry, ENTRIES, NOW.plus(passed))) {
           tried.add(entry);
           runs++;
         }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/quarantine/SuspicionLedgerTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/quarantine/SuspicionLedgerTest.java
@@ -31,7 +31,7 @@
   private static final Duration APART = Duration.ofSeconds(3);
 
   private static Suspicion suspicion(RequestFingerprint content, String endpoint) {
-    return Suspicion.of(content, new EndpointEnd(endpoint, Duration.ZERO, false));
+    return Suspicion.of(content, new EndpointCrash(endpoint, Duration.ZERO, false));
   }
 
   /** Endpoints that end one after the other, the last one now. */
@@ -43,7 +43,7 @@
     SuspicionLedger ledger = new SuspicionLedger();
     Duration age = apart.multipliedBy(Math.max(0, endpoints.length - 1));
     for (String endpoint : endpoints) {
-      ledger.add(Suspicion.of(CONTENT, new EndpointEnd(endpoint, age, silent)), NOW);
+      ledger.merge(Suspicion.of(CONTENT, new EndpointCrash(endpoint, age, silent)), NOW);
       age = age.minus(apart);
     }
     return ledger;
@@ -64,9 +64,9 @@
   void quarantinesWhatSeveralIncarnationsEndUnder(
       String name, List<String> endpoints, boolean quarantined) {
     SuspicionLedger ledger = ledger(endpoints.toArray(String[]::new));
-    assertThat(ledger.quarantinedFor(CONTENT, NOW).isPresent(), is(quarantined));
-    assertThat(ledger.quarantinedFor(new RequestFingerprint(8), NOW).isPresent(), is(false));
-    assertThat(ledger.atLeast(Suspicion.QUARANTINED, NOW), hasSize(quarantined ? 1 : 0));
+    assertThat(ledger.remainingQuarantine(CONTENT, NOW).isPresent(), is(quarantined));
+    assertThat(ledger.remainingQuarantine(new RequestFingerprint(8), NOW).isPresent(), is(false));
+    assertThat(ledger.withCrashesOrCleared(Suspicion.QUARANTINE_THRESHOLD, NOW), hasSize(quarantined ? 1 : 0));
     assertThat(ledger.quarantined(NOW), hasSize(quarantined ? 1 : 0));
   }
 
@@ -89,7 +89,7 @@
     String[] endpoints =
         IntStream.range(0, count).mapToObj(Integer::toString).toArray(String[]::new);
     SuspicionLedger ledger = ledger(apart, silent, endpoints);
-    assertThat(ledger.quarantinedFor(CONTENT, NOW).isPresent(), is(quarantined));
+    assertThat(ledger.remainingQuarantine(CONTENT, NOW).isPresent(), is(quarantined));
   }
 
   @Test
@@ -97,33 +97,33 @@
     SuspicionLedger ledger = ledger("a", "b", "c");
     Suspicion before = ledger.quarantined(NOW).get(0);
     Instant cleared = NOW.plusSeconds(1);
-    ledger.add(Suspicion.cleared(CONTENT), cleared);
-    ledger.add(before.agedBy(Duration.ofSeconds(5)), NOW.plusSeconds(5));
-    assertThat(ledger.quarantinedFor(CONTENT, NOW.plusSeconds(5)).isPresent(), is(false));
+    ledger.merge(Suspicion.cleared(CONTENT), cleared);
+    ledger.merge(before.agedBy(Duration.ofSeconds(5)), NOW.plusSeconds(5));
+    assertThat(ledger.remainingQuarantine(CONTENT, NOW.plusSeconds(5)).isPresent(), is(false));
     for (String endpoint : List.of("d", "e", "f")) {
       cleared = cleared.plus(APART);
-      ledger.add(suspicion(CONTENT, endpoint), cleared);
+      ledger.merge(suspicion(CONTENT, endpoint), cleared);
     }
-    assertThat(ledger.quarantinedFor(CONTENT, cleared).isPresent(), is(true));
+    assertThat(ledger.remainingQuarantine(CONTENT, cleared).isPresent(), is(true));
   }
 
   @Test
   void endpointThatIsStillThereProvesNothing() {
     SuspicionLedger ledger = ledger("a", "b", "c");
     Suspicion before = ledger.quarantined(NOW).get(0);
-    ledger.disprove("b", NOW.plusSeconds(1));
-    ledger.add(before.agedBy(Duration.ofSeconds(2)), NOW.plusSeconds(2));
-    assertThat(ledger.quarantinedFor(CONTENT, NOW.plusSeconds(2)).isPresent(), is(false));
-    ledger.add(suspicion(CONTENT, "b"), NOW.plusSeconds(3));
-    assertThat(ledger.quarantinedFor(CONTENT, NOW.plusSeconds(3)).isPresent(), is(true));
+    ledger.retractCrash("b", NOW.plusSeconds(1));
+    ledger.merge(before.agedBy(Duration.ofSeconds(2)), NOW.plusSeconds(2));
+    assertThat(ledger.remainingQuarantine(CONTENT, NOW.plusSeconds(2)).isPresent(), is(false));
+    ledger.merge(suspicion(CONTENT, "b"), NOW.plusSeconds(3));
+    assertThat(ledger.remainingQuarantine(CONTENT, NOW.plusSeconds(3)).isPresent(), is(true));
   }
 
   @Test
   void forgetsOldEvidence() {
     SuspicionLedger ledger = ledger("a", "b", "c");
     Instant end = NOW.plus(SuspicionLedger.MEMORY);
-    assertThat(ledger.quarantinedFor(CONTENT, end.minusMillis(1)).isPresent(), is(true));
-    assertThat(ledger.quarantinedFor(CONTENT, end).isPresent(), is(false));
+    assertThat(ledger.remainingQuarantine(CONTENT, end.minusMillis(1)).isPresent(), is(true));
+    assertThat(ledger.remainingQuarantine(CONTENT, end).isPresent(), is(false));
     ledger.expire(end);
     assertThat(ledger.size(), is(0));
     assertThat(ledger.quarantinedDigest(), is(new SuspicionLedger().quarantinedDigest()));
@@ -133,7 +133,7 @@
   void whatWasForgottenDoesNotComeBack() {
     Suspicion old = ledger("a", "b", "c").quarantined(NOW).get(0).agedBy(SuspicionLedger.MEMORY);
     SuspicionLedger ledger = new SuspicionLedger();
-    assertThat(ledger.add(old, NOW).isPresent(), is(false));
+    assertThat(ledger.merge(old, NOW).isPresent(), is(false));
     assertThat(ledger.size(), is(0));
   }
 
@@ -141,10 +141,10 @@
   void keepsTheWorstWhenThereIsNoMoreRoom() {
     SuspicionLedger ledger = ledger("a", "b", "c");
     for (int i = 0; i < 3 * SuspicionLedger.MOST_CONTENTS; i++) {
-      ledger.add(suspicion(new RequestFingerprint(1_000 + i), "d"), NOW);
+      ledger.merge(suspicion(new RequestFingerprint(1_000 + i), "d"), NOW);
     }
     assertThat(ledger.size(), lessThanOrEqualTo(SuspicionLedger.MOST_CONTENTS));
-    assertThat(ledger.quarantinedFor(CONTENT, NOW).isPresent(), is(true));
+    assertThat(ledger.remainingQuarantine(CONTENT, NOW).isPresent(), is(true));
   }
 
   @Test
@@ -152,12 +152,12 @@
     String[] many = IntStream.range(0, 1_000).mapToObj(Integer::toString).toArray(String[]::new);
     SuspicionLedger ledger = new SuspicionLedger();
     for (String endpoint : many) {
-      ledger.add(suspicion(CONTENT, endpoint), NOW);
+      ledger.merge(suspicion(CONTENT, endpoint), NOW);
     }
-    ledger.add(suspicion(CONTENT, "later"), NOW.plus(APART));
+    ledger.merge(suspicion(CONTENT, "later"), NOW.plus(APART));
     Suspicion known = ledger.quarantined(NOW.plus(APART)).get(0);
-    assertThat(known.ends(), hasSize(SuspicionLedger.MOST_ENDS));
-    assertThat(known.incarnations(), hasItem("later"));
+    assertThat(known.crashes(), hasSize(SuspicionLedger.MOST_ENDS));
+    assertThat(known.crashedIncarnations(), hasItem("later"));
   }
 
   static Stream<Arguments> digests() {
@@ -194,17 +194,17 @@
     for (int end = 0; end < 40; end++) {
       Suspicion suspicion =
           suspicion(new RequestFingerprint(random.nextInt(6)), "e" + random.nextInt(30));
-      ledgers.get(random.nextInt(n)).add(suspicion, now);
+      ledgers.get(random.nextInt(n)).merge(suspicion, now);
       for (SuspicionLedger ledger : ledgers) {
         int copies = random.nextInt(3);
         for (int copy = 0; copy < copies; copy++) {
-          ledger.add(suspicion, now);
+          ledger.merge(suspicion, now);
         }
       }
       if (random.nextInt(15) == 0) {
         ledgers
             .get(random.nextInt(n))
-            .add(Suspicion.cleared(new RequestFingerprint(random.nextInt(6))), now);
+            .merge(Suspicion.cleared(new RequestFingerprint(random.nextInt(6))), now);
       }
       if (random.nextInt(20) == 0) {
         ledgers.set(random.nextInt(n), new SuspicionLedger());
@@ -220,8 +220,8 @@
       for (int content = 0; content < 6; content++) {
         RequestFingerprint fingerprint = new RequestFingerprint(content);
         assertThat(
-            ledger.quarantinedFor(fingerprint, now).isPresent(),
-            is(ledgers.get(0).quarantinedFor(fingerprint, now).isPresent()));
+            ledger.remainingQuarantine(fingerprint, now).isPresent(),
+            is(ledgers.get(0).remainingQuarantine(fingerprint, now).isPresent()));
       }
     }
   }
@@ -230,7 +230,7 @@
     for (SuspicionLedger from : ledgers) {
       for (SuspicionLedger to : ledgers) {
         if (from.recurringDigest() != to.recurringDigest()) {
-          from.atLeast(SuspicionLedger.RECURRING, now).forEach(s -> to.add(s, now));
+          from.withCrashesOrCleared(SuspicionLedger.RECURRING_THRESHOLD, now).forEach(s -> to.merge(s, now));
         }
       }
     }
@@ -248,19 +248,19 @@
   @MethodSource("completions")
   void recentCompletionClearsItsContentOnly(Duration ago, boolean clears) {
     RecentCompletions completions = new RecentCompletions();
-    completions.completed(CONTENT, NOW.minus(ago));
-    assertThat(completions.clears(CONTENT, NOW), is(clears));
-    assertThat(completions.clears(new RequestFingerprint(8), NOW), is(false));
+    completions.record(CONTENT, NOW.minus(ago));
+    assertThat(completions.isRecentlyCompleted(CONTENT, NOW), is(clears));
+    assertThat(completions.isRecentlyCompleted(new RequestFingerprint(8), NOW), is(false));
   }
 
   @Test
   void completionsTakeBoundedRoom() {
     RecentCompletions completions = new RecentCompletions();
-    completions.completed(CONTENT, NOW);
+    completions.record(CONTENT, NOW);
     for (int i = 0; i < RecentCompletions.MOST_CONTENTS; i++) {
-      completions.completed(new RequestFingerprint(1_000 + i), NOW);
+      completions.record(new RequestFingerprint(1_000 + i), NOW);
     }
-    assertThat(completions.clears(CONTENT, NOW), is(not(true)));
+    assertThat(completions.isRecentlyCompleted(CONTENT, NOW), is(not(true)));
   }
 
   /** What became of a run that was given up at an endpoint that ended. */
@@ -278,61 +278,61 @@
   void runGivenUpIsSuspectIfItsEndpointSaidNothingMore(
       String name, Duration lastByteAfter, Duration endedAfter, boolean suspect) {
     UnansweredRuns runs = new UnansweredRuns();
-    assertThat(runs.unanswered("e", CONTENT, Kind.GIVEN_UP, NOW).isPresent(), is(false));
-    List<Suspicion> suspects = runs.ended("e", NOW.plus(lastByteAfter), NOW.plus(endedAfter));
+    assertThat(runs.record("e", CONTENT, Kind.GIVEN_UP, NOW).isPresent(), is(false));
+    List<Suspicion> suspects = runs.endpointCrashed("e", NOW.plus(lastByteAfter), NOW.plus(endedAfter));
     List<RequestFingerprint> contents = suspects.stream().map(Suspicion::content).toList();
     assertThat(contents, is(suspect ? List.of(CONTENT) : List.of()));
-    assertThat(runs.ended("e", NOW, NOW), is(List.of()));
+    assertThat(runs.endpointCrashed("e", NOW, NOW), is(List.of()));
   }
 
   @Test
   void brokenRunEndedWithItsEndpointAndSilentOneAtAnUnknownMoment() {
     UnansweredRuns runs = new UnansweredRuns();
     RequestFingerprint other = new RequestFingerprint(8);
-    runs.unanswered("e", CONTENT, Kind.BROKEN_OFF, NOW);
-    runs.unanswered("e", other, Kind.GIVEN_UP, NOW);
+    runs.record("e", CONTENT, Kind.BROKEN_OFF, NOW);
+    runs.record("e", other, Kind.GIVEN_UP, NOW);
     Duration later = Duration.ofSeconds(2);
     assertThat(
-        runs.ended("e", NOW, NOW.plus(later)),
+        runs.endpointCrashed("e", NOW, NOW.plus(later)),
         is(
             List.of(
-                Suspicion.of(CONTENT, new EndpointEnd("e", later, false)),
-                Suspicion.of(other, new EndpointEnd("e", Duration.ZERO, true)))));
+                Suspicion.of(CONTENT, new EndpointCrash("e", later, false)),
+                Suspicion.of(other, new EndpointCrash("e", Duration.ZERO, true)))));
   }
 
   @Test
   void runsAtAnEndpointThatIsBackAreNotSuspect() {
     UnansweredRuns runs = new UnansweredRuns();
-    runs.ended("e", NOW, NOW);
-    runs.returned("e");
-    assertThat(runs.unanswered("e", CONTENT, Kind.BROKEN_OFF, NOW).isPresent(), is(false));
+    runs.endpointCrashed("e", NOW, NOW);
+    runs.endpointRecovered("e");
+    assertThat(runs.record("e", CONTENT, Kind.BROKEN_OFF, NOW).isPresent(), is(false));
   }
 
   @Test
   void runGivenUpAfterItsEndpointEndedIsSuspectAtOnce() {
     UnansweredRuns runs = new UnansweredRuns();
-    runs.ended("e", NOW, NOW);
+    runs.endpointCrashed("e", NOW, NOW);
     Instant late = NOW.plus(UnansweredRuns.VALID);
     Kind kind = Kind.GIVEN_UP;
-    assertThat(runs.unanswered("e", CONTENT, kind, NOW.plusSeconds(1)).isPresent(), is(true));
-    assertThat(runs.unanswered("e", CONTENT, kind, late).isPresent(), is(false));
-    assertThat(runs.unanswered("f", CONTENT, kind, NOW).isPresent(), is(false));
+    assertThat(runs.record("e", CONTENT, kind, NOW.plusSeconds(1)).isPresent(), is(true));
+    assertThat(runs.record("e", CONTENT, kind, late).isPresent(), is(false));
+    assertThat(runs.record("f", CONTENT, kind, NOW).isPresent(), is(false));
   }
 
   @Test
   void unansweredRunsTakeBoundedRoomAndTime() {
     UnansweredRuns runs = new UnansweredRuns();
     for (int i = 0; i < 3 * UnansweredRuns.MOST_RUNS; i++) {
-      runs.unanswered("e", new RequestFingerprint(i), Kind.GIVEN_UP, NOW);
+      runs.record("e", new RequestFingerprint(i), Kind.GIVEN_UP, NOW);
     }
-    assertThat(runs.ended("e", NOW, NOW), hasSize(UnansweredRuns.MOST_RUNS));
-    runs.unanswered("f", CONTENT, Kind.GIVEN_UP, NOW);
+    assertThat(runs.endpointCrashed("e", NOW, NOW), hasSize(UnansweredRuns.MOST_RUNS));
+    runs.record("f", CONTENT, Kind.GIVEN_UP, NOW);
     for (int i = 0; i < UnansweredRuns.MOST_ENDPOINTS; i++) {
-      runs.unanswered("g" + i, CONTENT, Kind.GIVEN_UP, NOW);
+      runs.record("g" + i, CONTENT, Kind.GIVEN_UP, NOW);
     }
-    assertThat(runs.ended("f", NOW, NOW), is(List.of()));
+    assertThat(runs.endpointCrashed("f", NOW, NOW), is(List.of()));
     Instant later = NOW.plus(UnansweredRuns.VALID).plusMillis(1);
     runs.expire(later);
-    assertThat(runs.ended("g9", NOW, NOW), is(List.of()));
+    assertThat(runs.endpointCrashed("g9", NOW, NOW), is(List.of()));
   }
 }
