--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/AggregatedNews.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/AggregatedUpdateChannel.java
@@ -19,7 +19,7 @@
  *
  * <p>Owned by the event loop.
  */
-final class AggregatedNews implements NewsChannel {
+final class AggregatedUpdateChannel implements UpdateChannel {
   private static final long REPORT_MILLIS = 120;
 
   /** Pause after which unchanged work is told again: others believe a report for 1.5 s. */
@@ -42,17 +42,17 @@
       long unreadTokens,
       Optional<OptionalDouble> rate) {
     private static Told of(FleetMessage.EndpointLoad load) {
-      long tokens = load.unread().stream().mapToLong(FleetMessage.UnreadPrompt::tokens).sum();
+      long tokens = load.pendingPrompts().stream().mapToLong(FleetMessage.UnreadPrompt::tokens).sum();
       return new Told(
           load.endpoint(),
           load.running(),
-          load.unread().size(),
+          load.pendingPrompts().size(),
           tokens,
           load.rate().map(EndpointRateLimit.Report::perSecond));
     }
   }
 
-  AggregatedNews(
+  AggregatedUpdateChannel(
       FleetSettings settings,
       FleetTransport transport,
       AggregatorChoice aggregators,
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
@@ -82,7 +82,7 @@
   private final Map<String, Instant> controls = new HashMap<>();
   private final Map<String, EndpointRecord> outbox = new TreeMap<>();
   private final LeavingConfirmations leaving;
-  private final NewsAggregator aggregator;
+  private final UpdateAggregator aggregator;
   private final SuspicionExchange suspicions;
   private final Instant startedAt;
   private volatile List<String> seeds;
@@ -107,7 +107,7 @@
       }
       info = report.entry();
       ready = report.ready();
-      wantsLists = report.wantsLists();
+      wantsLists = report.wantsUpdates();
       at = now;
     }
   }
@@ -136,7 +136,7 @@
     metrics.expose(transport.traffic());
     this.leaving = new LeavingConfirmations(vertx, settings.peerAddress(), transport);
     this.aggregator =
-        new NewsAggregator(
+        new UpdateAggregator(
             transport, clock, settings.peerAddress(), this::peersOfRegion, this::otherControls);
     this.suspicions =
         new SuspicionExchange(
@@ -158,7 +158,7 @@
         settings.peerAddress(),
         settings.dataDir().orElseThrow(),
         founders,
-        settings.toleratedLosses(),
+        settings.toleratedFailures(),
         transport::send,
         state -> context.runOnContext(v -> announceState(state)),
         failure -> context.runOnContext(v -> reopenLater()));
@@ -194,7 +194,7 @@
   }
 
   /** Takes other seeds from changed settings. */
-  public void seeds(List<String> peers) {
+  public void updateSeeds(List<String> peers) {
     seeds = List.copyOf(peers);
   }
 
@@ -223,7 +223,7 @@
    *
    * @return whether it may be acknowledged; if not, the endpoint shall try another instance
    */
-  public Future<Boolean> announced(EndpointRecord record) {
+  public Future<Boolean> announce(EndpointRecord record) {
     return take(record)
         .onSuccess(
             acknowledged ->
@@ -243,8 +243,8 @@
 
   private Optional<EndpointRecord> heard(EndpointRecord record, Instant now) {
     Optional<EndpointRecord> before = roster.find(record.id());
-    Optional<EndpointRecord> changed = roster.announced(record, now);
-    if (before.filter(record::returnsAfter).isPresent()) {
+    Optional<EndpointRecord> changed = roster.applyAnnouncement(record, now);
+    if (before.filter(record::recoversFrom).isPresent()) {
       changed.ifPresent(suspicions::returned);
     }
     return changed;
@@ -257,14 +257,14 @@
    * @param startedAtMillis when the incarnation started that leaves; 0 if it does not say, which
    *     stands for the one known
    */
-  public Future<Boolean> left(String id, long startedAtMillis) {
+  public Future<Boolean> deregister(String id, long startedAtMillis) {
     EndpointRecord gone =
         roster
             .find(id)
             .filter(r -> startedAtMillis == 0 || startedAtMillis == r.startedAtMillis())
-            .map(r -> r.inState(EndpointState.GONE))
+            .map(r -> r.withState(EndpointState.GONE))
             .orElseGet(() -> unknownGone(id, startedAtMillis));
-    boolean changed = roster.announced(gone, clock.instant()).isPresent();
+    boolean changed = roster.applyAnnouncement(gone, clock.instant()).isPresent();
     if (changed) {
       RosterLog.changed(gone, "left");
     }
@@ -280,7 +280,7 @@
    * Returns whether announcements of a service are taken: it stands in the routing document, or
    * none is in force yet, or the endpoint was taken before its service was dropped.
    */
-  public boolean takesAnnouncementsOf(String service, String endpointId) {
+  public boolean acceptsAnnouncementsOf(String service, String endpointId) {
     RouteTable table = routes();
     return table.version() == 0
         || table.service(service).isPresent()
@@ -369,8 +369,8 @@
     String peer = report.entry().peerAddress();
     // Before the pulse, by which an entry that has just started becomes ready for callers.
     suspicions.compare(report);
-    transport.send(peer, pulse(report.questionId()));
-    if (report.wantsLists()) {
+    transport.send(peer, pulse(report.reportId()));
+    if (report.wantsUpdates()) {
       sendDifferences(seen, report, now);
     }
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EndProbe.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/CrashProbe.java
@@ -16,7 +16,7 @@
  *
  * <p>Thread-safe.
  */
-public final class EndProbe {
+public final class CrashProbe {
   /** Time before each attempt: an endpoint that ends closes its port at about the same time. */
   private static final long PAUSE_MILLIS = 30;
 
@@ -28,7 +28,7 @@
   private final Map<SocketAddress, Future<Boolean>> running = new ConcurrentHashMap<>();
 
   /** Creates it; nothing is probed yet. */
-  public EndProbe(Vertx vertx) {
+  public CrashProbe(Vertx vertx) {
     this.vertx = vertx;
     this.client =
         vertx.createNetClient(new NetClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MILLIS));
@@ -39,7 +39,7 @@
    *
    * @return whether new connections are refused; false as well if that cannot be told
    */
-  public Future<Boolean> hasEnded(SocketAddress address) {
+  public Future<Boolean> hasCrashed(SocketAddress address) {
     return running.computeIfAbsent(
         address,
         a -> {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/DirectNews.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/DirectUpdateChannel.java
@@ -10,7 +10,7 @@
  * costs an entry grows with the number of entries: it is for small fleets, and for a region from
  * which no control instance is in reach.
  */
-final class DirectNews implements NewsChannel {
+final class DirectUpdateChannel implements UpdateChannel {
   /** How often entries of a region tell each other their work: about one short prompt's reading. */
   private static final long REPORT_MILLIS = 120;
 
@@ -28,7 +28,7 @@
   private final FleetTransport transport;
   private final Supplier<List<EntryInfo>> entries;
 
-  DirectNews(FleetSettings settings, FleetTransport transport, Supplier<List<EntryInfo>> entries) {
+  DirectUpdateChannel(FleetSettings settings, FleetTransport transport, Supplier<List<EntryInfo>> entries) {
     this.settings = settings;
     this.transport = transport;
     this.entries = entries;
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
@@ -73,8 +73,8 @@
   private final RegionLoads regionLoads = new RegionLoads();
   private final UnreachableEntries unreachable = new UnreachableEntries();
   private final AggregatorChoice aggregators;
-  private final NewsChannel direct;
-  private final NewsChannel aggregated;
+  private final UpdateChannel direct;
+  private final UpdateChannel aggregated;
   private final LoadExchange loads;
   private final PrefixExchange prefixes;
   private final ExtraSendBudget extraSends;
@@ -136,8 +136,8 @@
     this.quotas = new FleetQuotas(startedAt);
     this.contacts = new ControlContacts(settings.region());
     this.aggregators = new AggregatorChoice(settings.region());
-    this.direct = new DirectNews(settings, transport, () -> this.entries);
-    this.aggregated = new AggregatedNews(settings, transport, aggregators, clock);
+    this.direct = new DirectUpdateChannel(settings, transport, () -> this.entries);
+    this.aggregated = new AggregatedUpdateChannel(settings, transport, aggregators, clock);
     this.loads =
         new LoadExchange(
             vertx,
@@ -175,7 +175,7 @@
 
   /** The rest of the time is for control instances to notice that they are cut off themselves. */
   private static Duration leaseOf(FleetBounds bounds) {
-    long millis = bounds.revocation().map(Duration::toMillis).orElse(0L);
+    long millis = bounds.revocationDelay().map(Duration::toMillis).orElse(0L);
     return Duration.ofMillis(Math.round(millis * LEASE_SHARE));
   }
 
@@ -190,12 +190,12 @@
   }
 
   /** Takes other seeds from changed settings. */
-  public void seeds(List<String> peers) {
+  public void updateSeeds(List<String> peers) {
     seeds = List.copyOf(peers);
   }
 
   /** Tells everybody that this entry takes no callers any more. */
-  public void stopping() {
+  public void beginShutdown() {
     stopping = true;
     report();
   }
@@ -209,7 +209,7 @@
    * Returns whether this entry has just started and may not have heard of all endpoints yet, so
    * that a request for which it knows none is worth a moment's wait.
    */
-  public boolean learning() {
+  public boolean discoveringEndpoints() {
     return startedAt.plus(settings.endpointHeartbeat().multipliedBy(3)).isAfter(clock.instant());
   }
 
@@ -224,12 +224,12 @@
   }
 
   /** Returns the budget of sends beyond a request's first. */
-  public boolean mayResend(String service) {
+  public boolean tryTakeExtraSend(String service) {
     return extraSends.tryTake(service, entries.size(), clock.instant());
   }
 
   /** Counts a request sent for the first time. */
-  public void firstSend(String service) {
+  public void recordFirstSend(String service) {
     extraSends.recordFirstSend(service, clock.instant());
   }
 
@@ -303,7 +303,7 @@
             settings.region(),
             engine.isPresent() ? prefixHolders(all, allowedRegions) : List.of(),
             engine,
-            settings.mechanismsOff()),
+            settings.disabledMechanisms()),
         clock.instant());
   }
 
@@ -351,7 +351,7 @@
 
   private int coldOwners(Optional<ServiceSpec> spec) {
     double rate = spec.map(ServiceSpec::coldRequestsPerSecond).orElse(0.0);
-    double bound = rate * settings.bounds().coldOvershoot() + settings.bounds().coldSlack();
+    double bound = rate * settings.bounds().warmupOvershoot() + settings.bounds().warmupSlack();
     return Math.max(1, (int) (bound * COLD_SHARE));
   }
 
@@ -380,7 +380,7 @@
   }
 
   /** Notes a request relayed to another region. */
-  public void relayed(String region, PlacementRequest request) {
+  public void requestRelayed(String region, PlacementRequest request) {
     regionLoads.recordRelayed(region, request, entriesOf(settings.region()).size());
   }
 
@@ -448,8 +448,8 @@
    * Returns whether callers' keys may be accepted. An entry that no control instance reaches does
    * not hear of keys that are withdrawn.
    */
-  public boolean acceptsKeys() {
-    return settings.bounds().revocation().isEmpty() || lease.isValid(clocks());
+  public boolean canVerifyApiKeys() {
+    return settings.bounds().revocationDelay().isEmpty() || lease.isValid(clocks());
   }
 
   private FleetMessage entryReport(boolean wantsLists, long questionId) {
@@ -480,7 +480,7 @@
     } else if (message instanceof FleetMessage.RegionLoad load) {
       regionHeard(load);
     } else if (message instanceof FleetMessage.EntryNews news) {
-      quotas.applyPeerUsage(news.news().quotaUses(), clock.instant());
+      quotas.applyPeerUsage(news.news().quotaUsage(), clock.instant());
     } else if (message instanceof FleetMessage.NewsDigest digest) {
       digestHeard(digest);
     } else if (message instanceof FleetMessage.SuspicionUpdate update) {
@@ -489,7 +489,7 @@
       quarantine.confirmed(ack);
     }
     reportReady();
-    if (learning()) {
+    if (discoveringEndpoints()) {
       prefixes.askEndpoints();
     }
   }
@@ -504,11 +504,11 @@
     digest.news().loads().forEach(loads::heard);
     digest.news().prefixes().forEach(prefixes::heard);
     digest.news().regionLoads().forEach(this::regionHeard);
-    quotas.applyFleetUsage(digest.news().quotaUses(), clock.instant());
+    quotas.applyFleetUsage(digest.news().quotaUsage(), clock.instant());
   }
 
   /** Entries of large fleets tell each other through an aggregator while one is in reach. */
-  private NewsChannel newsChannel() {
+  private UpdateChannel newsChannel() {
     Optional<String> aggregator =
         largeFleet ? aggregators.current(clock.instant()) : Optional.empty();
     if (!aggregator.equals(newsThrough)) {
@@ -529,7 +529,7 @@
   private static boolean isLarge(List<EntryInfo> entries) {
     Map<String, Integer> sizes = new HashMap<>();
     entries.forEach(e -> sizes.merge(e.region(), 1, Integer::sum));
-    return sizes.values().stream().anyMatch(size -> size > DirectNews.MOST_ENTRIES);
+    return sizes.values().stream().anyMatch(size -> size > DirectUpdateChannel.MOST_ENTRIES);
   }
 
   private void pulse(FleetMessage.ControlPulse pulse) {
@@ -545,7 +545,7 @@
       contacts.retain(controls);
     }
     if (pulse.inMajority() && pulse.revision() <= routing.revision()) {
-      lease.proved(pulse.questionId());
+      lease.proved(pulse.reportId());
     }
     boolean mayAsk = requestedAt.plus(REQUEST_PAUSE).isBefore(now);
     if (pulse.revision() > routing.revision() && mayAsk) {
@@ -611,7 +611,7 @@
 
   private void rosterUpdated(FleetMessage.RosterUpdate update) {
     endpoints.update(update, clock.instant());
-    rosterKnown |= update.whole();
+    rosterKnown |= update.complete();
   }
 
   private void entriesChanged(FleetMessage.EntryList list) {
@@ -639,7 +639,7 @@
   }
 
   /** Notes that a request has been sent to an endpoint of this region. */
-  public void begun(EndpointTracker tracker, long uncachedTokens) {
+  public void requestSent(EndpointTracker tracker, long uncachedTokens) {
     loads.begun(tracker, uncachedTokens);
   }
 
@@ -651,7 +651,7 @@
    * @param sentAt when the answer's request was sent
    * @param status the answer's status, for the log
    */
-  public void rateStated(
+  public void rateLimitAdvertised(
       EndpointTracker tracker, OptionalDouble perSecond, Instant sentAt, int status) {
     if (tracker.rateLimit().updateFromResponse(perSecond, sentAt, clock.instant())) {
       RosterLog.rateLimitChanged(tracker.record().id(), perSecond, status);
@@ -660,14 +660,14 @@
   }
 
   /** Takes an endpoint's word that it leaves, which may be here before the control instances'. */
-  public void leavingStated(EndpointTracker tracker) {
+  public void drainAdvertised(EndpointTracker tracker) {
     if (tracker.conditions().markDraining()) {
-      RosterLog.changed(tracker.record().inState(EndpointState.DRAINING), "its answer");
+      RosterLog.changed(tracker.record().withState(EndpointState.DRAINING), "its answer");
     }
   }
 
   /** Takes an endpoint's wish to get nothing from this entry for a while. */
-  public void pauseStated(EndpointTracker tracker, Duration pause) {
+  public void pauseRequested(EndpointTracker tracker, Duration pause) {
     Instant now = clock.instant();
     boolean inPause = !tracker.conditions().remainingPause(now).isZero();
     tracker.conditions().pause(pause, now);
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryStop.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryShutdown.java
@@ -12,8 +12,8 @@
  * that have not heard of it, and ends when their directory answers have run out and nothing is in
  * flight, or shortly before it would be killed.
  */
-public final class EntryStop {
-  private static final System.Logger LOG = System.getLogger(EntryStop.class.getName());
+public final class EntryShutdown {
+  private static final System.Logger LOG = System.getLogger(EntryShutdown.class.getName());
 
   /** How long callers may still come: three validities of a directory answer, plus its delay. */
   private static final Duration LINGER = Duration.ofMillis(4_200);
@@ -36,7 +36,7 @@
    * @param inFlight counts the requests under way
    * @param grace how long until the kill
    */
-  public EntryStop(Vertx vertx, EntryNode node, IntSupplier inFlight, Duration grace) {
+  public EntryShutdown(Vertx vertx, EntryNode node, IntSupplier inFlight, Duration grace) {
     this.vertx = vertx;
     this.node = node;
     this.inFlight = inFlight;
@@ -45,7 +45,7 @@
 
   /** Begins the stop; the future completes when the process may end. */
   public Future<Void> run() {
-    node.stopping();
+    node.beginShutdown();
     Promise<Void> done = Promise.promise();
     long beganNanos = System.nanoTime();
     long lingerNanos = LINGER.toNanos();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetSettings.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetSettings.java
@@ -21,10 +21,10 @@
  * @param seedPeers peer addresses of some control instances
  * @param dataDir the data folder, of control instances
  * @param firstStart whether the deployment starts for the first time
- * @param toleratedLosses how many control instances may be lost at once
+ * @param toleratedFailures how many control instances may be lost at once
  * @param endpointHeartbeat how often endpoints announce themselves
  * @param bounds what the deployment promises
- * @param mechanismsOff parts of the placement that are switched off
+ * @param disabledMechanisms parts of the placement that are switched off
  * @param secret the shared secret of the peer transport
  */
 public record FleetSettings(
@@ -38,17 +38,17 @@
     List<String> seedPeers,
     Optional<Path> dataDir,
     boolean firstStart,
-    int toleratedLosses,
+    int toleratedFailures,
     Duration endpointHeartbeat,
     FleetBounds bounds,
-    Set<PlacementMechanism> mechanismsOff,
+    Set<PlacementMechanism> disabledMechanisms,
     byte[] secret) {
 
   /** Copies the collections so the settings are immutable. */
   public FleetSettings {
     regionByDomain = Map.copyOf(regionByDomain);
     seedPeers = List.copyOf(seedPeers);
-    mechanismsOff = Set.copyOf(mechanismsOff);
+    disabledMechanisms = Set.copyOf(disabledMechanisms);
     secret = secret.clone();
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LoadExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LoadExchange.java
@@ -41,7 +41,7 @@
   private final InstantSource clock;
   private final Supplier<Collection<EndpointTracker>> trackers;
   private final Function<String, Optional<EndpointTracker>> trackerOf;
-  private final Supplier<NewsChannel> channel;
+  private final Supplier<UpdateChannel> channel;
   private final FleetQuotas quotas;
 
   /** The endpoints at which each other entry has said that it has work. */
@@ -56,7 +56,7 @@
       InstantSource clock,
       Supplier<Collection<EndpointTracker>> trackers,
       Function<String, Optional<EndpointTracker>> trackerOf,
-      Supplier<NewsChannel> channel,
+      Supplier<UpdateChannel> channel,
       FleetQuotas quotas) {
     this.vertx = vertx;
     this.settings = settings;
@@ -127,7 +127,7 @@
     }
     Instant now = clock.instant();
     Set<String> named = namedBy.computeIfAbsent(report.from(), from -> new HashSet<>());
-    Set<String> notNamedAgain = report.whole() ? Set.copyOf(named) : Set.of();
+    Set<String> notNamedAgain = report.complete() ? Set.copyOf(named) : Set.of();
     for (FleetMessage.EndpointLoad load : report.loads()) {
       named.add(load.endpoint());
       peerWork(report.from(), load, now);
@@ -148,7 +148,7 @@
         .apply(load.endpoint())
         .ifPresent(
             t -> {
-              t.updatePeerLoad(from, load.running(), load.unread(), now);
+              t.updatePeerLoad(from, load.running(), load.pendingPrompts(), now);
               load.rate().ifPresent(rate -> rateHeard(t, rate, from, now));
             });
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/OrderRelay.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/OrderRelay.java
@@ -46,11 +46,11 @@
   /**
    * What became of an order.
    *
-   * @param done whether it is committed; otherwise nobody knows yet
+   * @param committed whether it is committed; otherwise nobody knows yet
    * @param version for a read the operator's version in force
    * @param document for a read its document
    */
-  public record Outcome(boolean done, long version, String document) {
+  public record Outcome(boolean committed, long version, String document) {
     static final Outcome UNKNOWN = new Outcome(false, 0, "");
   }
 
@@ -119,7 +119,7 @@
         .future()
         .onSuccess(
             o -> {
-              metrics.orders.labelValues(kind.name(), Boolean.toString(o.done())).inc();
+              metrics.orders.labelValues(kind.name(), Boolean.toString(o.committed())).inc();
               metrics.orderSeconds.observe((System.nanoTime() - beganNanos) / 1e9);
               log(kind, version, text, o);
             });
@@ -136,7 +136,7 @@
         "domain",
         kind == ControlOrder.ROUTE ? "" : text,
         "done",
-        outcome.done(),
+        outcome.committed(),
         "leader",
         control.get().view().leader().orElse("none"),
         "term",
@@ -159,7 +159,7 @@
     }
     tried.onComplete(
         done -> {
-          if (done.succeeded() && done.result().done()) {
+          if (done.succeeded() && done.result().committed()) {
             result.tryComplete(done.result());
           } else {
             vertx.setTimer(RETRY_MILLIS, id -> attempt(order, result));
@@ -205,21 +205,21 @@
 
   /** Serves an order that another instance passed on. */
   void called(FleetMessage.ControlCall call) {
-    Order order = new Order(call.order(), call.version(), call.text(), call.basisRevision(), 0);
+    Order order = new Order(call.order(), call.version(), call.text(), call.baseRevision(), 0);
     submitHere(order, TRY_PATIENCE.toMillis())
         .onSuccess(
             o ->
                 transport.send(
                     call.from(),
                     new FleetMessage.ControlReply(
-                        call.callId(), o.done(), o.version(), o.document())));
+                        call.callId(), o.committed(), o.version(), o.document())));
   }
 
   /** Takes the leader's reply. */
   void replied(FleetMessage.ControlReply reply) {
     Promise<Outcome> promise = calls.remove(reply.callId());
     if (promise != null) {
-      promise.tryComplete(new Outcome(reply.done(), reply.version(), reply.document()));
+      promise.tryComplete(new Outcome(reply.committed(), reply.version(), reply.document()));
     }
   }
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PendingVerdicts.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PendingCrashProbes.java
@@ -13,17 +13,17 @@
  *
  * <p>Thread-safe.
  */
-public final class PendingVerdicts {
+public final class PendingCrashProbes {
   private final Map<RequestFingerprint, Future<Boolean>> byContent = new ConcurrentHashMap<>();
 
   /** Has a content wait until a verdict is there. */
-  public void await(RequestFingerprint content, Future<Boolean> verdict) {
+  public void add(RequestFingerprint content, Future<Boolean> verdict) {
     byContent.put(content, verdict);
     verdict.onComplete(known -> byContent.remove(content, verdict));
   }
 
   /** Returns what a content waits for. */
-  public Optional<Future<Boolean>> of(RequestFingerprint content) {
+  public Optional<Future<Boolean>> get(RequestFingerprint content) {
     return Optional.ofNullable(byContent.get(content)).filter(verdict -> !verdict.isComplete());
   }
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixExchange.java
@@ -41,7 +41,7 @@
   private final InstantSource clock;
   private final Supplier<Collection<EndpointTracker>> trackers;
   private final Function<String, Optional<EndpointTracker>> trackerOf;
-  private final Supplier<NewsChannel> channel;
+  private final Supplier<UpdateChannel> channel;
   private final Function<String, Optional<ServiceSpec.Engine>> engineOfService;
   private final Map<String, Instant> toldAt = new LinkedHashMap<>();
   private final Set<String> asked = new HashSet<>();
@@ -52,7 +52,7 @@
       InstantSource clock,
       Supplier<Collection<EndpointTracker>> trackers,
       Function<String, Optional<EndpointTracker>> trackerOf,
-      Supplier<NewsChannel> channel,
+      Supplier<UpdateChannel> channel,
       Function<String, Optional<ServiceSpec.Engine>> engineOfService) {
     this.settings = settings;
     this.listing = listing;
@@ -110,7 +110,7 @@
    * turned away.
    */
   void askEndpoints() {
-    if (!settings.mechanismsOff().contains(PlacementMechanism.PREFIX_LISTING)) {
+    if (!settings.disabledMechanisms().contains(PlacementMechanism.PREFIX_LISTING)) {
       trackers.get().stream().filter(this::asks).forEach(this::ask);
     }
   }
@@ -125,7 +125,7 @@
 
   private void ask(EndpointTracker tracker) {
     listing
-        .heldAt(tracker.record().address())
+        .list(tracker.record().address())
         .onSuccess(parts -> tracker.recordPrefix(parts, kvCapacityOf(tracker)))
         .onComplete(answer -> logListed(tracker.record(), answer));
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixListing.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixListing.java
@@ -12,5 +12,5 @@
    * @param address where it listens, {@code ip:port}
    * @return the parts, in any order; fails if it does not answer
    */
-  Future<List<PromptPart>> heldAt(String address);
+  Future<List<PromptPart>> list(String address);
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/QuarantineLog.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/QuarantineLog.java
@@ -14,7 +14,7 @@
    * @param suspicion what is known of the content now
    * @param cause the instance that told of it, or what was observed here
    */
-  public static void learned(Suspicion suspicion, String cause) {
+  public static void logChange(Suspicion suspicion, String cause) {
     if (suspicion.isQuarantined()) {
       LOG.log(
           System.Logger.Level.WARNING,
@@ -39,7 +39,7 @@
   }
 
   /** Writes that a quarantined content is run once more. */
-  public static void tried(Suspicion suspicion) {
+  public static void logTrial(Suspicion suspicion) {
     LOG.log(
         System.Logger.Level.INFO,
         "content.tried",
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
@@ -47,8 +47,8 @@
   private final RecentCompletions completions = new RecentCompletions();
   private final UnansweredRuns unanswered = new UnansweredRuns();
   private final QuarantineTrials trials = new QuarantineTrials();
-  private final EndProbe probe;
-  private final PendingVerdicts pending = new PendingVerdicts();
+  private final CrashProbe probe;
+  private final PendingCrashProbes pending = new PendingCrashProbes();
   private final List<Suspicion> gathered = new ArrayList<>();
   private final Map<Long, Told> unconfirmed = BoundedMap.forgettingFirst(MOST_UNCONFIRMED);
   private long nextCallId = 1;
@@ -84,21 +84,21 @@
     this.clock = clock;
     this.controls = controls;
     this.entries = entries;
-    this.probe = new EndProbe(vertx);
+    this.probe = new CrashProbe(vertx);
   }
 
   /**
    * Returns how long a content is still quarantined, empty if it may run. Once in a while a
    * quarantined one may.
    */
-  public Optional<Duration> remaining(RequestFingerprint content) {
+  public Optional<Duration> remainingQuarantine(RequestFingerprint content) {
     Instant now = clock.instant();
     Optional<Suspicion> known = ledger.quarantined(content, now);
     if (known.isEmpty()) {
       return Optional.empty();
     }
     if (trials.tryStartTrial(known.get(), name, entries.get(), now)) {
-      QuarantineLog.tried(known.get());
+      QuarantineLog.logTrial(known.get());
       return Optional.empty();
     }
     return ledger.remainingQuarantine(content, now);
@@ -122,34 +122,34 @@
    * Notes that an endpoint closed the connection on which it had a content to run. That speaks
    * against the content once it turns out that the endpoint has ended.
    */
-  public void brokeOff(EndpointTracker endpoint, RequestFingerprint content) {
+  public void connectionLost(EndpointTracker endpoint, RequestFingerprint content) {
     unanswered(endpoint.record(), content, UnansweredRuns.Kind.BROKEN_OFF);
     Future<Boolean> verdict =
         probe
-            .hasEnded(SocketAddresses.parse(endpoint.record().address()))
+            .hasCrashed(SocketAddresses.parse(endpoint.record().address()))
             .onSuccess(
                 hasEnded -> {
                   if (hasEnded) {
                     ended(endpoint.record(), endpoint.lastByteAt());
                   }
                 });
-    pending.await(content, verdict);
+    pending.add(content, verdict);
   }
 
   /** Returns what a content has to wait for before it may be run. */
-  public Optional<Future<Boolean>> pending(RequestFingerprint content) {
-    return pending.of(content);
+  public Optional<Future<Boolean>> pendingCrashProbe(RequestFingerprint content) {
+    return pending.get(content);
   }
 
   /** Notes that this entry stopped waiting for an endpoint's answer to a content. */
-  public void givenUp(EndpointRecord endpoint, RequestFingerprint content) {
+  public void abandoned(EndpointRecord endpoint, RequestFingerprint content) {
     unanswered(endpoint, content, UnansweredRuns.Kind.GIVEN_UP);
   }
 
   private void unanswered(
       EndpointRecord endpoint, RequestFingerprint content, UnansweredRuns.Kind kind) {
     unanswered
-        .record(endpoint.incarnation(), content, kind, clock.instant())
+        .record(endpoint.incarnationId(), content, kind, clock.instant())
         .ifPresent(this::suspect);
   }
 
@@ -160,13 +160,13 @@
    * @param lastByteAt when this entry last had a byte of it
    */
   void ended(EndpointRecord endpoint, Instant lastByteAt) {
-    unanswered.endpointCrashed(endpoint.incarnation(), lastByteAt, clock.instant()).forEach(this::suspect);
+    unanswered.endpointCrashed(endpoint.incarnationId(), lastByteAt, clock.instant()).forEach(this::suspect);
   }
 
   /** Notes that an endpoint that was taken for lost is back, as the same incarnation. */
   void returned(EndpointRecord endpoint) {
-    unanswered.endpointRecovered(endpoint.incarnation());
-    ledger.retractCrash(endpoint.incarnation(), clock.instant());
+    unanswered.endpointRecovered(endpoint.incarnationId());
+    ledger.retractCrash(endpoint.incarnationId(), clock.instant());
   }
 
   private void suspect(Suspicion suspicion) {
@@ -179,7 +179,7 @@
   private void learn(Suspicion suspicion) {
     ledger
         .merge(suspicion, clock.instant())
-        .ifPresent(known -> QuarantineLog.learned(known, "seen here"));
+        .ifPresent(known -> QuarantineLog.logChange(known, "seen here"));
     if (gathered.isEmpty()) {
       vertx.setTimer(GATHER_MILLIS, id -> tell());
     }
@@ -213,7 +213,7 @@
   void heard(FleetMessage.SuspicionUpdate update) {
     Instant now = clock.instant();
     for (Suspicion suspicion : update.suspicions()) {
-      ledger.merge(suspicion, now).ifPresent(known -> QuarantineLog.learned(known, update.from()));
+      ledger.merge(suspicion, now).ifPresent(known -> QuarantineLog.logChange(known, update.from()));
       RequestFingerprint content = suspicion.content();
       if (ledger.quarantined(content, now).isPresent() && completions.isRecentlyCompleted(content, now)) {
         learn(Suspicion.cleared(content));
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionExchange.java
@@ -62,7 +62,7 @@
     try {
       store
           .load()
-          .forEach(s -> ledger.merge(s, now).ifPresent(k -> QuarantineLog.learned(k, "disk")));
+          .forEach(s -> ledger.merge(s, now).ifPresent(k -> QuarantineLog.logChange(k, "disk")));
     } catch (IOException e) {
       LOG.log(System.Logger.Level.WARNING, "quarantine.not_loaded", e);
     }
@@ -95,7 +95,7 @@
     for (Suspicion suspicion : update.suspicions()) {
       ledger.merge(suspicion, now).ifPresent(learned::add);
     }
-    learned.forEach(known -> QuarantineLog.learned(known, update.from()));
+    learned.forEach(known -> QuarantineLog.logChange(known, update.from()));
     save();
     tell(entries.get(), learned.stream().filter(SuspicionExchange::concernsEntries).toList());
     // What another control instance tells, it tells all of them.
@@ -133,7 +133,7 @@
 
   /** Takes back what was held against contents because this endpoint had ended: it is back. */
   void returned(EndpointRecord endpoint) {
-    ledger.retractCrash(endpoint.incarnation(), clock.instant());
+    ledger.retractCrash(endpoint.incarnationId(), clock.instant());
   }
 
   /** Forgets what is too old, and keeps the rest on disk. */
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/NewsAggregator.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/UpdateAggregator.java
@@ -19,7 +19,7 @@
  *
  * <p>Owned by the event loop.
  */
-final class NewsAggregator {
+final class UpdateAggregator {
   /** How often it is checked what is due. */
   private static final long TICK_MILLIS = 40;
 
@@ -35,8 +35,8 @@
 
   /** A region whose entries have chosen this aggregator. */
   private static final class Served {
-    private final NewsBuffer digest = new NewsBuffer();
-    private final RemoteNewsBuffer remote = new RemoteNewsBuffer();
+    private final UpdateBuffer digest = new UpdateBuffer();
+    private final RemoteUpdateBuffer remote = new RemoteUpdateBuffer();
     private Instant heardAt;
   }
 
@@ -47,7 +47,7 @@
    * @param entriesOfRegion the peer addresses of a region's live entries
    * @param otherControls the peer addresses of the other control instances
    */
-  NewsAggregator(
+  UpdateAggregator(
       FleetTransport transport,
       InstantSource clock,
       String self,
@@ -73,7 +73,7 @@
     own.remote.add(told.news(), now);
     News forOtherRegions =
         new News(
-            List.of(), told.news().prefixes(), told.news().regionLoads(), told.news().quotaUses());
+            List.of(), told.news().prefixes(), told.news().regionLoads(), told.news().quotaUsage());
     addToOthers(told.region(), forOtherRegions);
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/NewsChannel.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/UpdateChannel.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /** The way by which an entry tells the others its news. */
-interface NewsChannel {
+interface UpdateChannel {
   /** Returns the pause between two regular reports of its work, in ms. */
   long pauseMillis();
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/EndpointStatements.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/EndpointStatements.java
@@ -30,11 +30,11 @@
   void read(EndpointTracker endpoint, int status, HttpClientResponse answer, Instant sentAt) {
     readRate(endpoint, status, answer, sentAt);
     if (LEAVES.equals(answer.getHeader(names.leaving()))) {
-      node.leavingStated(endpoint);
+      node.drainAdvertised(endpoint);
     }
     if (status == UNAVAILABLE || status == TOO_MANY_REQUESTS) {
       RetryAfter.parse(answer.getHeader(RetryAfter.HEADER))
-          .ifPresent(pause -> node.pauseStated(endpoint, pause));
+          .ifPresent(pause -> node.pauseRequested(endpoint, pause));
     }
   }
 
@@ -44,10 +44,10 @@
     if (stated != null) {
       OptionalDouble rate = rate(stated);
       if (rate.isPresent()) {
-        node.rateStated(endpoint, rate, sentAt, status);
+        node.rateLimitAdvertised(endpoint, rate, sentAt, status);
       }
     } else if (status >= 200 && status < 300) {
-      node.rateStated(endpoint, OptionalDouble.empty(), sentAt, status);
+      node.rateLimitAdvertised(endpoint, OptionalDouble.empty(), sentAt, status);
     }
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/EntryServer.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/EntryServer.java
@@ -190,7 +190,7 @@
             node.routing().table(),
             route.get(),
             request.getHeader(HttpHeaders.AUTHORIZATION),
-            node.acceptsKeys(),
+            node.canVerifyApiKeys(),
             RECHECK);
     if (access instanceof CallerAccess.Denied denied) {
       logRejected(request, denied.reason());
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
@@ -112,7 +112,7 @@
     context.open().incrementAndGet();
     answer.onLeft(this::callerLeft);
     if (!relayed) {
-      context.node().firstSend(request.handling().service());
+      context.node().recordFirstSend(request.handling().service());
     }
     place();
   }
@@ -121,13 +121,13 @@
     if (done) {
       return;
     }
-    Optional<Future<Boolean>> pending = context.node().quarantine().pending(request.fingerprint());
+    Optional<Future<Boolean>> pending = context.node().quarantine().pendingCrashProbe(request.fingerprint());
     if (pending.isPresent()) {
       pending.get().onComplete(known -> place());
       return;
     }
     // Whatever runs a quarantined content ends, with all requests that run beside it.
-    Optional<Duration> quarantined = context.node().quarantine().remaining(request.fingerprint());
+    Optional<Duration> quarantined = context.node().quarantine().remainingQuarantine(request.fingerprint());
     if (quarantined.isPresent()) {
       refuseQuarantined(quarantined.get());
       return;
@@ -157,7 +157,7 @@
             here.fetch().map(Placement.PrefixFetch::tokens).orElse(0L),
             context.kvCapacity(wanted.service()),
             context.now());
-    context.node().begun(endpoint, ticket.prefillTokens());
+    context.node().requestSent(endpoint, ticket.prefillTokens());
     log.placed(
         here,
         ticket.prefillTokens(),
@@ -171,7 +171,7 @@
   private boolean worthWaiting() {
     Duration waited = Duration.between(request.arrivedAt(), context.now());
     return targets == 0
-        && context.node().learning()
+        && context.node().discoveringEndpoints()
         && waited.compareTo(request.handling().objective()) < 0;
   }
 
@@ -187,7 +187,7 @@
     List<EntryInfo> partners = RelayPartners.of(entries, context.node().name());
     int turn = Math.floorMod(request.id().hashCode() + targets, partners.size());
     EntryInfo entry = partners.get(turn);
-    context.node().relayed(elsewhere.region(), wanted);
+    context.node().requestRelayed(elsewhere.region(), wanted);
     log.relayed(entry, elsewhere, targets + 1, context.node().routing().revision());
     send(UpstreamTarget.entry(entry), elsewhere.expectedMillis());
   }
@@ -502,7 +502,7 @@
     attempt
         .target()
         .endpoint()
-        .ifPresent(e -> context.node().quarantine().brokeOff(e, request.fingerprint()));
+        .ifPresent(e -> context.node().quarantine().connectionLost(e, request.fingerprint()));
   }
 
   private void prefixRead(EndpointTracker endpoint) {
@@ -590,7 +590,7 @@
   }
 
   private boolean resend() {
-    return context.node().mayResend(request.handling().service());
+    return context.node().tryTakeExtraSend(request.handling().service());
   }
 
   /** The target may have run the request and did not answer it in full. */
@@ -636,7 +636,7 @@
       attempt
           .target()
           .endpoint()
-          .ifPresent(e -> context.node().quarantine().givenUp(e.record(), request.fingerprint()));
+          .ifPresent(e -> context.node().quarantine().abandoned(e.record(), request.fingerprint()));
     }
     attempt.cancel(outcome);
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ContentQuarantine.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ContentQuarantine.java
@@ -10,9 +10,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.lacewingcroft.fleet.EndProbe;
+import org.lacewingcroft.fleet.CrashProbe;
 import org.lacewingcroft.fleet.FleetMessage;
-import org.lacewingcroft.fleet.PendingVerdicts;
+import org.lacewingcroft.fleet.PendingCrashProbes;
 import org.lacewingcroft.fleet.QuarantineLog;
 import org.lacewingcroft.peer.Membership;
 import org.lacewingcroft.peer.PeerMessage;
@@ -31,8 +31,8 @@
 final class ContentQuarantine {
   private final Membership membership;
   private final EndpointRegistry endpoints;
-  private final EndProbe probe;
-  private final PendingVerdicts pending = new PendingVerdicts();
+  private final CrashProbe probe;
+  private final PendingCrashProbes pending = new PendingCrashProbes();
   private final InstantSource clock;
   private final SuspicionLedger ledger = new SuspicionLedger();
   private final RecentCompletions completions = new RecentCompletions();
@@ -41,7 +41,7 @@
       Vertx vertx, Membership membership, EndpointRegistry endpoints, InstantSource clock) {
     this.membership = membership;
     this.endpoints = endpoints;
-    this.probe = new EndProbe(vertx);
+    this.probe = new CrashProbe(vertx);
     this.clock = clock;
   }
 
@@ -63,7 +63,7 @@
     Instant brokeOffAt = clock.instant();
     Future<Boolean> verdict =
         addressOf(endpoint)
-            .map(probe::hasEnded)
+            .map(probe::hasCrashed)
             .orElse(Future.succeededFuture(false))
             .onSuccess(
                 hasEnded -> {
@@ -71,12 +71,12 @@
                     ended(endpoint, content, brokeOffAt);
                   }
                 });
-    pending.await(content, verdict);
+    pending.add(content, verdict);
   }
 
   /** Returns what a content has to wait for before it may be run. */
   Optional<Future<Boolean>> pending(RequestFingerprint content) {
-    return pending.of(content);
+    return pending.get(content);
   }
 
   private Optional<SocketAddress> addressOf(String endpoint) {
@@ -163,7 +163,7 @@
   private boolean learn(Suspicion suspicion, String cause, Instant now) {
     ledger.expire(now);
     Optional<Suspicion> known = ledger.merge(suspicion, now);
-    known.ifPresent(k -> QuarantineLog.learned(k, cause));
+    known.ifPresent(k -> QuarantineLog.logChange(k, cause));
     return known.isPresent();
   }
 
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/FleetHarness.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/FleetHarness.java
@@ -240,7 +240,7 @@
   /** Puts a table in force and waits for its acknowledgement. */
   void route(long version) throws Exception {
     for (int i = 0; i < 20; i++) {
-      if (onContext(() -> control.orders().route(version, Long.toString(version))).done()) {
+      if (onContext(() -> control.orders().route(version, Long.toString(version))).committed()) {
         return;
       }
     }
@@ -250,12 +250,12 @@
   /** Announces an endpoint until the entry knows it. */
   void announce(String id, String service, String region, int port, long sequence)
       throws Exception {
-    onContext(() -> control.announced(record(id, service, region, port, sequence)));
+    onContext(() -> control.announce(record(id, service, region, port, sequence)));
   }
 
   /** Announces an endpoint once; must run on the fleet's context. */
   void announceNow(String id, String service, String region, int port, long sequence) {
-    control.announced(record(id, service, region, port, sequence));
+    control.announce(record(id, service, region, port, sequence));
   }
 
   /** Runs something on the fleet's context and waits for its end. */
@@ -279,7 +279,7 @@
     AtomicLong sequence = new AtomicLong(1);
     vertx.setPeriodic(
         HEARTBEAT.toMillis(),
-        t -> control.announced(record(id, service, region, port, sequence.incrementAndGet())));
+        t -> control.announce(record(id, service, region, port, sequence.incrementAndGet())));
   }
 
   /** Waits until an entry knows so many endpoints of a service. */
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/LargeRegionTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/LargeRegionTest.java
@@ -93,7 +93,7 @@
           () -> {
             EndpointTracker tracker = endpoint(entry);
             tracker.startRequest(request, 0, KV_TOKENS, Instant.now());
-            entry.node().begun(tracker, request.promptTokens());
+            entry.node().requestSent(tracker, request.promptTokens());
             entry.node().prefixRead(tracker, request);
             return Future.succeededFuture();
           });
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/RelayedResendTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/RelayedResendTest.java
@@ -31,13 +31,13 @@
   private static FleetBounds bounds() {
     FleetBounds usual = FleetHarness.BOUNDS;
     return new FleetBounds(
-        usual.grace(),
+        usual.shutdownGrace(),
         usual.directoryTtlMax(),
         RATIO,
         SLACK,
         WINDOW,
-        usual.coldOvershoot(),
-        usual.coldSlack(),
+        usual.warmupOvershoot(),
+        usual.warmupSlack(),
         Optional.empty());
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointRecord.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointRecord.java
@@ -26,18 +26,18 @@
     long coldMillis) {
 
   /** Returns the name of this incarnation, as {@code id@start}. */
-  public String incarnation() {
+  public String incarnationId() {
     return id + '@' + startedAtMillis;
   }
 
   /** Returns this record in another state. */
-  public EndpointRecord inState(EndpointState next) {
+  public EndpointRecord withState(EndpointState next) {
     return new EndpointRecord(
         id, startedAtMillis, service, address, failureDomain, slots, next, sequence, coldMillis);
   }
 
   /** Returns this record with another remaining cold time. */
-  public EndpointRecord coldFor(long millis) {
+  public EndpointRecord withColdMillis(long millis) {
     return new EndpointRecord(
         id, startedAtMillis, service, address, failureDomain, slots, state, sequence, millis);
   }
@@ -50,7 +50,7 @@
   /**
    * Returns whether an incarnation that was lost by an earlier record is in service by this one.
    */
-  public boolean returnsAfter(EndpointRecord earlier) {
+  public boolean recoversFrom(EndpointRecord earlier) {
     return earlier.state == EndpointState.LOST
         && state == EndpointState.READY
         && !startedAfter(earlier);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointRoster.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointRoster.java
@@ -42,7 +42,7 @@
 
     /** An incarnation first heard of after the one that took its address over. */
     private static Known late(EndpointRecord record, Instant now) {
-      Known known = new Known(record.inState(EndpointState.LOST), now);
+      Known known = new Known(record.withState(EndpointState.LOST), now);
       known.replaced = true;
       return known;
     }
@@ -55,7 +55,7 @@
 
     private EndpointRecord recordAt(Instant now) {
       long left = Math.max(0, Duration.between(now, coldUntil).toMillis());
-      return record.coldFor(left);
+      return record.withColdMillis(left);
     }
   }
 
@@ -68,7 +68,7 @@
    * @return the record if it changed what others must know: a new endpoint, another state, or an
    *     endpoint that turned cold
    */
-  public Optional<EndpointRecord> announced(EndpointRecord record, Instant now) {
+  public Optional<EndpointRecord> applyAnnouncement(EndpointRecord record, Instant now) {
     if (record.state() == EndpointState.GONE) {
       return merge(record, now);
     }
@@ -102,7 +102,7 @@
     if (record.sequence() <= known.record.sequence()) {
       return false;
     }
-    known.record = known.record.inState(EndpointState.LOST);
+    known.record = known.record.withState(EndpointState.LOST);
     known.reclaims++;
     return known.reclaims >= RECLAIM_ANNOUNCEMENTS;
   }
@@ -116,7 +116,7 @@
       if (rival) {
         other.replaced = true;
         other.reclaims = 0;
-        other.record = other.record.inState(EndpointState.LOST);
+        other.record = other.record.withState(EndpointState.LOST);
       }
     }
   }
@@ -149,7 +149,7 @@
           known.record.state() == EndpointState.READY
               || known.record.state() == EndpointState.DRAINING;
       if (live && known.heardAt.plus(lease).isBefore(now)) {
-        known.record = known.record.inState(EndpointState.LOST);
+        known.record = known.record.withState(EndpointState.LOST);
         lost.add(known.recordAt(now));
       }
     }
@@ -157,19 +157,19 @@
   }
 
   /** Forgets an endpoint. */
-  public void forget(String id) {
+  public void remove(String id) {
     byId.remove(id);
   }
 
   /** Forgets the endpoints that left so long ago that no word of them is late any more. */
-  public List<String> forgetGone(Instant now) {
+  public List<String> removeExpiredTombstones(Instant now) {
     List<String> gone =
         byId.values().stream()
             .filter(k -> k.record.state() == EndpointState.GONE)
             .filter(k -> k.heardAt.plus(TOMBSTONE).isBefore(now))
             .map(k -> k.record.id())
             .toList();
-    gone.forEach(this::forget);
+    gone.forEach(this::remove);
     return gone;
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetCodec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetCodec.java
@@ -48,20 +48,20 @@
     if (message instanceof FleetMessage.EntryReport r) {
       p.packInt(ENTRY_REPORT);
       FleetRecords.packEntry(p, r.entry());
-      p.packBoolean(r.ready()).packBoolean(r.wantsLists()).packLong(r.revision());
+      p.packBoolean(r.ready()).packBoolean(r.wantsUpdates()).packLong(r.revision());
       p.packInt(r.rosterDigest()).packInt(r.entriesDigest()).packInt(r.quarantineDigest());
-      p.packLong(r.questionId());
+      p.packLong(r.reportId());
     } else if (message instanceof FleetMessage.ControlPulse c) {
       p.packInt(CONTROL_PULSE).packString(c.from()).packString(c.region());
       p.packBoolean(c.inMajority()).packBoolean(c.settled()).packLong(c.revision());
       p.packInt(c.quarantineDigest());
       FleetRecords.packStrings(p, c.controls());
-      p.packLong(c.questionId());
+      p.packLong(c.reportId());
     } else if (message instanceof FleetMessage.ControlHello h) {
       p.packInt(CONTROL_HELLO).packString(h.from()).packInt(h.recurringDigest());
       FleetRecords.packStrings(p, h.controls());
     } else if (message instanceof FleetMessage.RosterUpdate u) {
-      p.packInt(ROSTER_UPDATE).packString(u.from()).packLong(u.callId()).packBoolean(u.whole());
+      p.packInt(ROSTER_UPDATE).packString(u.from()).packLong(u.callId()).packBoolean(u.complete());
       FleetRecords.packAll(p, u.records(), FleetRecords::packEndpoint);
     } else if (message instanceof FleetMessage.RosterAck a) {
       p.packInt(ROSTER_ACK).packString(a.from()).packLong(a.callId());
@@ -83,9 +83,9 @@
     if (message instanceof FleetMessage.ControlCall c) {
       p.packInt(CONTROL_CALL).packString(c.from()).packLong(c.callId());
       p.packInt(c.order().ordinal()).packLong(c.version()).packString(c.text());
-      p.packLong(c.basisRevision());
+      p.packLong(c.baseRevision());
     } else if (message instanceof FleetMessage.ControlReply r) {
-      p.packInt(CONTROL_REPLY).packLong(r.callId()).packBoolean(r.done());
+      p.packInt(CONTROL_REPLY).packLong(r.callId()).packBoolean(r.committed());
       p.packLong(r.version()).packString(r.document());
     } else if (message instanceof FleetMessage.LoadReport r) {
       p.packInt(LOAD_REPORT);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetMessage.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetMessage.java
@@ -19,23 +19,23 @@
    *
    * @param entry the entry
    * @param ready whether it takes callers
-   * @param wantsLists whether the entry goes by this instance's roster and list of entries, and
+   * @param wantsUpdates whether the entry goes by this instance's roster and list of entries, and
    *     wants to be told of changes; an instance that it does not go by hears it less often
    * @param revision the revision of its routing state
    * @param rosterDigest the digest of its roster
    * @param entriesDigest the digest of the entries it knows
    * @param quarantineDigest the digest of the quarantined contents it knows
-   * @param questionId what the answer is to repeat
+   * @param reportId what the answer is to repeat
    */
   record EntryReport(
       EntryInfo entry,
       boolean ready,
-      boolean wantsLists,
+      boolean wantsUpdates,
       long revision,
       int rosterDigest,
       int entriesDigest,
       int quarantineDigest,
-      long questionId)
+      long reportId)
       implements FleetMessage {}
 
   /**
@@ -48,7 +48,7 @@
    * @param revision the revision of its committed routing state
    * @param quarantineDigest the digest of the quarantined contents it knows
    * @param controls the control instances it knows
-   * @param questionId names the report that this answers; 0 if it answers none
+   * @param reportId names the report that this answers; 0 if it answers none
    */
   record ControlPulse(
       String from,
@@ -58,7 +58,7 @@
       long revision,
       int quarantineDigest,
       List<String> controls,
-      long questionId)
+      long reportId)
       implements FleetMessage {}
 
   /**
@@ -78,10 +78,10 @@
    *
    * @param from the sender
    * @param callId names the update in a {@link RosterAck}; 0 if none is wanted
-   * @param whole whether these are all endpoints that the sender knows
+   * @param complete whether these are all endpoints that the sender knows
    * @param records the records
    */
-  record RosterUpdate(String from, long callId, boolean whole, List<EndpointRecord> records)
+  record RosterUpdate(String from, long callId, boolean complete, List<EndpointRecord> records)
       implements FleetMessage {}
 
   /**
@@ -138,21 +138,21 @@
    * @param order the order
    * @param version the document's version, for {@link ControlOrder#ROUTE}
    * @param text the document or the failure domain
-   * @param basisRevision the routing revision known to that instance when the operator called it
+   * @param baseRevision the routing revision known to that instance when the operator called it
    */
   record ControlCall(
-      String from, long callId, ControlOrder order, long version, String text, long basisRevision)
+      String from, long callId, ControlOrder order, long version, String text, long baseRevision)
       implements FleetMessage {}
 
   /**
    * Answers a {@link ControlCall}.
    *
    * @param callId the call
-   * @param done whether the order is committed; otherwise its outcome is not known
+   * @param committed whether the order is committed; otherwise its outcome is not known
    * @param version for a read the operator's version in force
    * @param document for a read its document
    */
-  record ControlReply(long callId, boolean done, long version, String document)
+  record ControlReply(long callId, boolean committed, long version, String document)
       implements FleetMessage {}
 
   /**
@@ -177,23 +177,23 @@
    * An entry tells the others of its region what it has in flight at their endpoints.
    *
    * @param from the entry's name
-   * @param whole whether it has nothing in flight at endpoints that are not named
+   * @param complete whether it has nothing in flight at endpoints that are not named
    * @param loads its work by endpoint
    */
-  record LoadReport(String from, boolean whole, List<EndpointLoad> loads) implements FleetMessage {}
+  record LoadReport(String from, boolean complete, List<EndpointLoad> loads) implements FleetMessage {}
 
   /**
    * One entry's work at one endpoint.
    *
    * @param endpoint the endpoint's id
    * @param running requests in flight
-   * @param unread the prompts among them that the endpoint has not read yet
+   * @param pendingPrompts the prompts among them that the endpoint has not read yet
    * @param rate what it has lately stated to this entry of the rate that it takes, if anything
    */
   record EndpointLoad(
       String endpoint,
       int running,
-      List<UnreadPrompt> unread,
+      List<UnreadPrompt> pendingPrompts,
       Optional<EndpointRateLimit.Report> rate) {}
 
   /**
@@ -246,13 +246,13 @@
    * @param loads entries' work at endpoints, the later report of an entry behind the earlier
    * @param prefixes beginnings of prompts that endpoints have read
    * @param regionLoads how loaded whole regions are
-   * @param quotaUses what callers have used of the quotas of their organisations, by its name
+   * @param quotaUsage what callers have used of the quotas of their organisations, by its name
    */
   record News(
       List<LoadReport> loads,
       List<PrefixRead> prefixes,
       List<RegionLoad> regionLoads,
-      Map<String, Long> quotaUses) {
+      Map<String, Long> quotaUsage) {
     /** Nothing. */
     public static final News NONE = new News(List.of(), List.of(), List.of(), Map.of());
 
@@ -263,7 +263,7 @@
 
     /** Returns whether there is none. */
     public boolean isEmpty() {
-      return loads.isEmpty() && prefixes.isEmpty() && regionLoads.isEmpty() && quotaUses.isEmpty();
+      return loads.isEmpty() && prefixes.isEmpty() && regionLoads.isEmpty() && quotaUsage.isEmpty();
     }
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetRecords.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetRecords.java
@@ -135,7 +135,7 @@
   }
 
   static void packLoadReport(MessagePacker p, LoadReport r) throws IOException {
-    p.packString(r.from()).packBoolean(r.whole());
+    p.packString(r.from()).packBoolean(r.complete());
     packAll(p, r.loads(), FleetRecords::packEndpointLoad);
   }
 
@@ -146,7 +146,7 @@
 
   private static void packEndpointLoad(MessagePacker p, EndpointLoad l) throws IOException {
     p.packString(l.endpoint()).packInt(l.running());
-    packAll(p, l.unread(), FleetRecords::packUnread);
+    packAll(p, l.pendingPrompts(), FleetRecords::packUnread);
     p.packBoolean(l.rate().isPresent());
     if (l.rate().isPresent()) {
       packRate(p, l.rate().get());
@@ -231,7 +231,7 @@
     packAll(p, news.loads(), FleetRecords::packLoadReport);
     packAll(p, news.prefixes(), FleetRecords::packPrefixRead);
     packAll(p, news.regionLoads(), FleetRecords::packRegionLoad);
-    packAll(p, news.quotaUses().entrySet(), FleetRecords::packQuotaUse);
+    packAll(p, news.quotaUsage().entrySet(), FleetRecords::packQuotaUse);
   }
 
   private static void packQuotaUse(MessagePacker p, Map.Entry<String, Long> use)
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/RemoteNewsBuffer.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/RemoteUpdateBuffer.java
@@ -19,7 +19,7 @@
  *
  * <p>Not thread-safe: owned by the instance's event loop.
  */
-public final class RemoteNewsBuffer {
+public final class RemoteUpdateBuffer {
   /** Pause between two messages. */
   private static final Duration PAUSE = Duration.ofMillis(200);
 
@@ -42,7 +42,7 @@
     for (RegionLoad newer : news.regionLoads()) {
       load = Optional.of(newer);
     }
-    news.quotaUses().forEach((name, use) -> quotaUses.merge(name, use, Long::sum));
+    news.quotaUsage().forEach((name, use) -> quotaUses.merge(name, use, Long::sum));
   }
 
   /** Takes the news if there is some and it is due. */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/NewsBuffer.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/UpdateBuffer.java
@@ -19,7 +19,7 @@
  *
  * <p>Not thread-safe: owned by the instance's event loop.
  */
-public final class NewsBuffer {
+public final class UpdateBuffer {
   /** Pause between two digests: about as long as a short prompt is read. */
   private static final Duration PAUSE = Duration.ofMillis(120);
 
@@ -39,7 +39,7 @@
   /** Adds news. */
   public void add(News news, boolean isUrgent) {
     for (LoadReport report : news.loads()) {
-      if (report.whole()) {
+      if (report.complete()) {
         loads.removeIf(earlier -> earlier.from().equals(report.from()));
       }
       loads.add(report);
@@ -49,7 +49,7 @@
       regionLoads.removeIf(earlier -> earlier.region().equals(load.region()));
       regionLoads.add(load);
     }
-    news.quotaUses().forEach((name, use) -> quotaUses.merge(name, use, Long::sum));
+    news.quotaUsage().forEach((name, use) -> quotaUses.merge(name, use, Long::sum));
     urgent |= isUrgent;
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/TrackedEndpoints.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/TrackedEndpoints.java
@@ -67,14 +67,14 @@
       named.add(record.id());
       take(record, update.from(), now);
     }
-    if (update.whole()) {
+    if (update.complete()) {
       for (EndpointRecord record : roster.records(now)) {
         if (!named.contains(record.id()) && isOld(record, now)) {
           missing(record, update.from(), now);
         }
       }
     }
-    roster.forgetGone(now).forEach(this::forget);
+    roster.removeExpiredTombstones(now).forEach(this::forget);
   }
 
   private boolean isOld(EndpointRecord record, Instant now) {
@@ -88,14 +88,14 @@
    */
   private void missing(EndpointRecord record, String from, Instant now) {
     switch (record.state()) {
-      case READY, DRAINING -> take(record.inState(EndpointState.LOST), from, now);
+      case READY, DRAINING -> take(record.withState(EndpointState.LOST), from, now);
       case LOST -> forget(record.id());
       default -> {}
     }
   }
 
   private void forget(String endpointId) {
-    roster.forget(endpointId);
+    roster.remove(endpointId);
     trackers.remove(endpointId);
     knownSince.remove(endpointId);
   }
@@ -110,13 +110,13 @@
     EndpointTracker tracker = trackers.get(record.id());
     if (tracker != null) {
       noteEnd(tracker, known, changed.isPresent());
-      if (known.returnsAfter(tracker.record())) {
+      if (known.recoversFrom(tracker.record())) {
         listener.incarnationReturned(known);
       }
     }
     if (tracker == null || known.startedAfter(tracker.record())) {
       AdvertisedConditions stated =
-          conditions.computeIfAbsent(known.incarnation(), i -> new AdvertisedConditions());
+          conditions.computeIfAbsent(known.incarnationId(), i -> new AdvertisedConditions());
       trackers.put(record.id(), new EndpointTracker(known, stated, now));
       knownSince.put(record.id(), now);
     } else if (known.equals(record)) {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/EndpointRestartTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/EndpointRestartTest.java
@@ -84,7 +84,7 @@
   @MethodSource("rows")
   void theLaterStartWins(Row row) {
     EndpointRoster roster = new EndpointRoster();
-    row.words().forEach(w -> roster.announced(w.record(), START));
+    row.words().forEach(w -> roster.applyAnnouncement(w.record(), START));
     EndpointRecord known = roster.find("a").orElseThrow();
     assertThat(known.startedAtMillis(), equalTo(row.startedAtMillis()));
     assertThat(known.state(), equalTo(row.state()));
@@ -121,7 +121,7 @@
     List<Word> order = new ArrayList<>(words);
     Collections.shuffle(order, random);
     EndpointRoster roster = new EndpointRoster();
-    order.forEach(w -> roster.announced(w.record(), START));
+    order.forEach(w -> roster.applyAnnouncement(w.record(), START));
     return roster;
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/EndpointRosterTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/EndpointRosterTest.java
@@ -79,7 +79,7 @@
       if (word.state() == GONE) {
         roster.merge(record, now);
       } else {
-        roster.announced(record, now);
+        roster.applyAnnouncement(record, now);
       }
     }
     assertThat(roster.find("old").map(EndpointRecord::state).orElse(null), equalTo(row.old()));
@@ -94,23 +94,23 @@
   @Test
   void leaseEndsAndAnAnnouncementRenewsIt() {
     EndpointRoster roster = new EndpointRoster();
-    roster.announced(record("old", READY, 1, 0), START);
+    roster.applyAnnouncement(record("old", READY, 1, 0), START);
     Instant later = START.plus(LEASE).plusMillis(1);
     assertThat(roster.expire(later, LEASE).size(), equalTo(1));
     assertThat(roster.expire(later, LEASE).size(), equalTo(0));
-    assertThat(roster.announced(record("old", READY, 2, 0), later).isPresent(), equalTo(true));
+    assertThat(roster.applyAnnouncement(record("old", READY, 2, 0), later).isPresent(), equalTo(true));
     assertThat(roster.find("old").orElseThrow().state(), equalTo(READY));
   }
 
   @Test
   void coldTimeRunsOffAndColdAgainIsNews() {
     EndpointRoster roster = new EndpointRoster();
-    roster.announced(record("old", READY, 1, 3_000), START);
+    roster.applyAnnouncement(record("old", READY, 1, 3_000), START);
     long left = roster.records(START.plusMillis(1_000)).iterator().next().coldMillis();
     assertThat(left, equalTo(2_000L));
     Instant warm = START.plusMillis(4_000);
-    assertThat(roster.announced(record("old", READY, 2, 0), warm).isPresent(), equalTo(false));
-    assertThat(roster.announced(record("old", READY, 3, 3_000), warm).isPresent(), equalTo(true));
+    assertThat(roster.applyAnnouncement(record("old", READY, 2, 0), warm).isPresent(), equalTo(false));
+    assertThat(roster.applyAnnouncement(record("old", READY, 3, 3_000), warm).isPresent(), equalTo(true));
   }
 
   @Test
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/NewsBufferTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/UpdateBufferTest.java
@@ -19,7 +19,7 @@
 import org.lacewingcroft.fleet.FleetMessage.ReadPart;
 import org.lacewingcroft.fleet.FleetMessage.RegionLoad;
 
-class NewsBufferTest {
+class UpdateBufferTest {
   private static final Instant START = Instant.EPOCH.plusSeconds(100);
 
   private static LoadReport report(String from, boolean whole, int running) {
@@ -50,7 +50,7 @@
   @ParameterizedTest(name = "{0}")
   @MethodSource("digestTimes")
   void digestsAreDue(String name, News news, boolean urgent, long notYetMillis, long dueMillis) {
-    NewsBuffer buffer = new NewsBuffer();
+    UpdateBuffer buffer = new UpdateBuffer();
     buffer.take(START);
     buffer.add(news, urgent);
     assertThat(buffer.take(START.plusMillis(notYetMillis)), is(Optional.empty()));
@@ -60,7 +60,7 @@
 
   @Test
   void laterWordReplacesEarlier() {
-    NewsBuffer buffer = new NewsBuffer();
+    UpdateBuffer buffer = new UpdateBuffer();
     buffer.add(work(report("a", true, 1)), false);
     buffer.add(work(report("b", true, 2)), false);
     buffer.add(work(report("a", true, 3)), false);
@@ -75,7 +75,7 @@
 
   @Test
   void otherRegionsHearOfPrefixOnce() {
-    RemoteNewsBuffer buffer = new RemoteNewsBuffer();
+    RemoteUpdateBuffer buffer = new RemoteUpdateBuffer();
     buffer.add(prefix("e1", "p"), START);
     buffer.add(prefix("e2", "p"), START);
     buffer.add(prefix("e2", "q"), START);
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/TrackedEndpointsTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/TrackedEndpointsTest.java
@@ -38,12 +38,12 @@
 
             @Override
             public void incarnationLost(EndpointTracker endpoint) {
-              ended.add(endpoint.record().incarnation());
+              ended.add(endpoint.record().incarnationId());
             }
 
             @Override
             public void incarnationReturned(EndpointRecord record) {
-              returned.add(record.incarnation());
+              returned.add(record.incarnationId());
             }
           });
 
@@ -158,7 +158,7 @@
   }
 
   private void pass(EndpointRoster control, EndpointRecord record, Instant now) {
-    control.announced(record, now);
+    control.applyAnnouncement(record, now);
     tell(false, now, record);
   }
 
