--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
@@ -257,8 +257,8 @@
             configs.current().version(),
             gateway == null ? Map.of() : gateway.freeSlotsByModel()));
     if (gateway != null) {
-      gateway.keys().maintain();
-      metrics.keyRecords.set(gateway.keys().records());
+      gateway.keys().expireAndHandOver();
+      metrics.keyRecords.set(gateway.keys().recordCount());
     }
     metrics.configVersion.set(configs.current().version());
     metrics.endpoints.set(endpoints.snapshot().size());
@@ -317,7 +317,7 @@
     } else if (gateway != null
         && message instanceof PeerMessage.Fleet fleet
         && fleet.message() instanceof FleetMessage.SuspicionUpdate update) {
-      gateway.heard(update);
+      gateway.onSuspicionUpdate(update);
     } else if (gateway != null) {
       gateway.keys().receive(message);
     }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/QuarantineApi.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/QuarantineApi.java
@@ -34,7 +34,7 @@
 
   private void list(RoutingContext ctx) {
     ArrayNode list = JsonReply.JSON.createArrayNode();
-    for (Suspicion suspicion : gateway.quarantined()) {
+    for (Suspicion suspicion : gateway.quarantinedContents()) {
       ObjectNode node = list.addObject();
       node.put(FINGERPRINT, suspicion.content().toString());
       node.put("lastEndAgeMillis", suspicion.age().toMillis());
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/EndpointStatements.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/EndpointStatements.java
@@ -29,7 +29,7 @@
    */
   void read(EndpointTracker endpoint, int status, HttpClientResponse answer, Instant sentAt) {
     readRate(endpoint, status, answer, sentAt);
-    if (LEAVES.equals(answer.getHeader(names.leaving()))) {
+    if (LEAVES.equals(answer.getHeader(names.draining()))) {
       node.drainAdvertised(endpoint);
     }
     if (status == UNAVAILABLE || status == TOO_MANY_REQUESTS) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/EntryServer.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/EntryServer.java
@@ -102,7 +102,7 @@
             .connectionHandler(
                 connection -> {
                   StrictRequestDecoder.install(connection, publicOptions, this::limits);
-                  callers.opened(connection);
+                  callers.onConnectionOpened(connection);
                 })
             .requestHandler(this::handleCaller);
     relayServer =
@@ -166,7 +166,7 @@
     final Instant arrivedAt = clock.instant();
     CallerAnswer answer = new CallerAnswer(request, false);
     request.exceptionHandler(e -> {});
-    callers.requested(request);
+    callers.onRequest(request);
     if (node.routing().revision() == 0) {
       answer.own(503, "no routes are known yet", true, Optional.of(START_RETRY_AFTER));
       return;
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
@@ -357,7 +357,7 @@
         return;
       }
       noteStatements(response);
-      if (success && response.getHeader(context.names().proof()) == null) {
+      if (success && response.getHeader(context.names().signature()) == null) {
         spoiled("answered " + status + " without signature");
       } else if (success && request.handling().stream()) {
         count();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/HeaderNames.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/HeaderNames.java
@@ -7,7 +7,7 @@
  *
  * @param requestId names a request; echoed by endpoints
  * @param deadlineMillis how long the sender waits for the answer
- * @param proof an endpoint's signature of its answer
+ * @param signature an endpoint's signature of its answer
  * @param expectInstance names the incarnation that shall run the request
  * @param notRun an endpoint's word that it did not run the request
  * @param promptParts the prompt's parts, {@code id:tokens} separated by commas
@@ -18,13 +18,13 @@
  * @param lastEventId the last event that the sender of the request has
  * @param organisation tells an endpoint the organisation of the caller
  * @param rateLimit the requests a second that an endpoint takes from all entries together
- * @param leaving {@code 1} if an endpoint leaves
- * @param owned headers in lower case that only this system may set; callers' are dropped
+ * @param draining {@code 1} if an endpoint leaves
+ * @param reservedHeaders headers in lower case that only this system may set; callers' are dropped
  */
 public record HeaderNames(
     String requestId,
     String deadlineMillis,
-    String proof,
+    String signature,
     String expectInstance,
     String notRun,
     String promptParts,
@@ -35,5 +35,5 @@
     String lastEventId,
     String organisation,
     String rateLimit,
-    String leaving,
-    Set<String> owned) {}
+    String draining,
+    Set<String> reservedHeaders) {}
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/RequestReader.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/RequestReader.java
@@ -27,7 +27,7 @@
 
   RequestReader(HeaderNames names) {
     this.names = names;
-    this.dropped = new HashSet<>(names.owned());
+    this.dropped = new HashSet<>(names.reservedHeaders());
     this.dropped.addAll(ForwardContext.RELAY_HEADERS);
     this.droppedWithKeys = new HashSet<>(dropped);
     this.droppedWithKeys.add(HttpHeaders.AUTHORIZATION.toString().toLowerCase(Locale.ROOT));
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/EntryGateway.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/EntryGateway.java
@@ -165,7 +165,7 @@
   }
 
   /** Returns the contents that this entry refuses because endpoints ended under them. */
-  public List<Suspicion> quarantined() {
+  public List<Suspicion> quarantinedContents() {
     return quarantine.quarantined();
   }
 
@@ -179,7 +179,7 @@
   }
 
   /** Takes another entry's word of contents under which endpoints broke off. */
-  public void heard(FleetMessage.SuspicionUpdate update) {
+  public void onSuspicionUpdate(FleetMessage.SuspicionUpdate update) {
     quarantine.heard(update);
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ErrorReply.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ErrorReply.java
@@ -13,7 +13,7 @@
  */
 public final class ErrorReply {
   /** Seconds a caller should wait before retrying a refusal. */
-  public static final int RETRY_AFTER_SECONDS = 1;
+  public static final int DEFAULT_RETRY_AFTER_SECONDS = 1;
 
   private static final String RETRY_AFTER_HEADER = "Retry-After";
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -44,7 +44,7 @@
         .putHeader("Content-Type", "application/json")
         .putHeader(EntryGateway.RUN_HEADER, runWord(kind));
     if (retryable(kind) && !response.headers().contains(RETRY_AFTER_HEADER)) {
-      response.putHeader(RETRY_AFTER_HEADER, Integer.toString(RETRY_AFTER_SECONDS));
+      response.putHeader(RETRY_AFTER_HEADER, Integer.toString(DEFAULT_RETRY_AFTER_SECONDS));
     }
     response.end(body(kind, detail, key));
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/KeyOwnership.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/KeyOwnership.java
@@ -225,7 +225,7 @@
   /**
    * Sends records to replicas that became responsible since the last call, and expires old ones.
    */
-  public synchronized void maintain() {
+  public synchronized void expireAndHandOver() {
     table.expire(clock.instant());
     List<Member> members = membership.table().known(MemberInfo.ENTRY, region());
     Set<String> peers = new HashSet<>();
@@ -250,7 +250,7 @@
   }
 
   /** Returns the number of records held here. */
-  public int records() {
+  public int recordCount() {
     return table.size();
   }
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/http/CallerConnections.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/http/CallerConnections.java
@@ -45,13 +45,13 @@
   }
 
   /** Takes a connection just accepted. */
-  public void opened(HttpConnection connection) {
+  public void onConnectionOpened(HttpConnection connection) {
     uses.put(connection, new Use(clock.instant()));
     connection.closeHandler(v -> uses.remove(connection));
   }
 
   /** Counts a request as under way until its answer has ended or its connection is closed. */
-  public void requested(HttpServerRequest request) {
+  public void onRequest(HttpServerRequest request) {
     Use use = uses.get(request.connection());
     if (use != null) {
       use.requests++;
