--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
@@ -210,7 +210,7 @@
   }
 
   private boolean servesCallers() {
-    return gateway != null && !gateway.shuttingDown() && knowsConfig() && membership.settled();
+    return gateway != null && !gateway.shuttingDown() && knowsConfig() && membership.converged();
   }
 
   private boolean knowsConfig() {
@@ -245,7 +245,7 @@
   /** Tells others of a version just put in force; the leader tells every region. */
   private void spreadVersion(long version) {
     boolean leads = control != null && control.leads();
-    membership.spread(
+    membership.sendToRandomMembers(
         new PeerMessage.ConfigNotice(version, membership.self().peerAddress()), leads);
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/DirectoryApi.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/DirectoryApi.java
@@ -90,7 +90,7 @@
   private void announce(RoutingContext ctx) {
     try {
       Endpoint endpoint = endpoints.announce(RequestBody.of(ctx));
-      membership.tellRegionsEntries(new PeerMessage.EndpointAnnounce(endpoint));
+      membership.sendToRegionEntries(new PeerMessage.EndpointAnnounce(endpoint));
       ObjectNode reply = JsonReply.JSON.createObjectNode();
       reply.put("leaseExpiresAt", endpoint.leaseExpiresAt().toString());
       reply.put("configVersion", configs.current().version());
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
@@ -50,7 +50,7 @@
   private final CrashProbe probe;
   private final PendingCrashProbes pending = new PendingCrashProbes();
   private final List<Suspicion> gathered = new ArrayList<>();
-  private final Map<Long, Told> unconfirmed = BoundedMap.forgettingFirst(MOST_UNCONFIRMED);
+  private final Map<Long, Told> unconfirmed = BoundedMap.evictingOldest(MOST_UNCONFIRMED);
   private long nextCallId = 1;
 
   /** What was gathered until an instant; told again later, its ends are older by then. */
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/CallerAccess.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/CallerAccess.java
@@ -70,14 +70,14 @@
    */
   static CallerAccess of(
       RouteTable table, Route route, String authorization, boolean keysCurrent, Duration recheck) {
-    if (!table.keysNeeded()) {
+    if (!table.requiresApiKeys()) {
       return new Granted(Optional.empty());
     }
     Optional<Organisation> organisation =
         Optional.ofNullable(authorization)
             .filter(a -> a.startsWith(SCHEME))
             .flatMap(a -> table.organisationOf(a.substring(SCHEME.length()).trim()));
-    if (route.open()) {
+    if (route.authExempt()) {
       return new Granted(organisation);
     }
     if (!keysCurrent) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/EntryServer.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/EntryServer.java
@@ -225,7 +225,7 @@
       Handling handling,
       Instant arrivedAt,
       Optional<Organisation> organisation) {
-    boolean keysNeeded = node.routing().table().keysNeeded();
+    boolean keysNeeded = node.routing().table().requiresApiKeys();
     readBody(
         request,
         answer,
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ContentQuarantine.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ContentQuarantine.java
@@ -103,8 +103,8 @@
 
   private void tell(Suspicion suspicion) {
     PeerMessage update = update(List.of(suspicion));
-    membership.tellRegionsEntries(update);
-    membership.spread(update, /* acrossRegions= */ true);
+    membership.sendToRegionEntries(update);
+    membership.sendToRandomMembers(update, /* acrossRegions= */ true);
   }
 
   /** Returns the contents that are quarantined. */
@@ -140,7 +140,7 @@
             .filter(r -> !r.equals(membership.self().region()))
             .isPresent();
     if (fromElsewhere && !learned.isEmpty()) {
-      membership.tellRegionsEntries(update(learned));
+      membership.sendToRegionEntries(update(learned));
     }
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/Dispatcher.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/Dispatcher.java
@@ -342,7 +342,7 @@
     Attempt.Kind kind =
         hop == HopAuthenticator.Hop.TO_OWNER ? Attempt.Kind.KEY_OWNER : Attempt.Kind.OTHER_REGION;
     Attempt attempt = begin(exchange, target.info().nodeId(), target.info().region(), kind);
-    if (faults.cuts(target.info().region())) {
+    if (faults.isCut(target.info().region())) {
       vertx.setTimer(
           CONNECT_TIMEOUT_MILLIS,
           id -> notSent(exchange, attempt, new IllegalStateException("the link is cut")));
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ErrorReply.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ErrorReply.java
@@ -56,7 +56,7 @@
   }
 
   private static String runWord(ErrorKind kind) {
-    return kind.provesNotRun() ? EntryGateway.RUN_NO : "unknown";
+    return kind.guaranteesNotRun() ? EntryGateway.RUN_NO : "unknown";
   }
 
   private static boolean retryable(ErrorKind kind) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/KeyOwnership.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/KeyOwnership.java
@@ -106,7 +106,7 @@
 
   /** Claims a key at every replica. */
   Future<KeyAdmission> admit(String key) {
-    if (!membership.settled()) {
+    if (!membership.converged()) {
       return Future.succeededFuture(
           new KeyAdmission.Unconfirmed("this entry is still meeting its region's entries"));
     }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RegionView.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RegionView.java
@@ -34,7 +34,7 @@
   private final EndpointHealth health;
   private final InstantSource clock;
   private final Map<String, String> lastEndpointByPrefix =
-      Collections.synchronizedMap(BoundedMap.forgettingUnused(PREFIXES_KEPT));
+      Collections.synchronizedMap(BoundedMap.evictingLeastRecentlyUsed(PREFIXES_KEPT));
 
   RegionView(
       String region,
@@ -87,7 +87,7 @@
   }
 
   @Override
-  public boolean sentPrefix(String endpointId, String prefixHash) {
+  public boolean recentlySentPrefix(String endpointId, String prefixHash) {
     return endpointId.equals(lastEndpointByPrefix.get(prefixHash));
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RouteChooser.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RouteChooser.java
@@ -50,7 +50,7 @@
     Instant now = clock.instant();
     Set<String> mustPassOver = new HashSet<>(exchange.passedOver());
     mustPassOver.addAll(health.paused(now).keySet());
-    Set<String> passedOver = new HashSet<>(health.passedOver(now));
+    Set<String> passedOver = new HashSet<>(health.isInBackoff(now));
     passedOver.addAll(mustPassOver);
     RouteDecision decision = route(exchange, passedOver);
     boolean refused = decision instanceof RouteDecision.Refuse;
@@ -80,7 +80,7 @@
   /** Keeps the exchange away from a target that failed it, and others from a failing endpoint. */
   void passOver(Exchange exchange, Attempt attempt) {
     if (attempt.toEndpoint()) {
-      health.failed(attempt.target(), clock.instant());
+      health.recordFailure(attempt.target(), clock.instant());
       exchange.passedOver().add(attempt.target());
     } else {
       exchange.passedOver().add(attempt.targetRegion());
@@ -100,14 +100,14 @@
       retryAfter.ifPresent(pause -> askedForPause(attempt.target(), pause));
     }
     if (status >= 500) {
-      health.failed(attempt.target(), clock.instant());
+      health.recordFailure(attempt.target(), clock.instant());
     } else {
-      health.succeeded(attempt.target());
+      health.recordSuccess(attempt.target());
     }
   }
 
   private void askedForPause(String endpoint, Duration pause) {
-    health.askedForPause(endpoint, pause, clock.instant());
+    health.recordPause(endpoint, pause, clock.instant());
     LOG.log(
         System.Logger.Level.INFO,
         "endpoint.pause_stated",
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/LinkFaults.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/LinkFaults.java
@@ -27,13 +27,13 @@
   }
 
   /** Returns whether a region cannot be reached. */
-  public boolean cuts(String region) {
+  public boolean isCut(String region) {
     return cutRegions.contains(region);
   }
 
   /** Returns whether frames to a peer address are lost; a peer not known yet is lost too. */
   boolean cutsPeer(String address) {
-    return !cutRegions.isEmpty() && regionOfPeer.apply(address).map(this::cuts).orElse(true);
+    return !cutRegions.isEmpty() && regionOfPeer.apply(address).map(this::isCut).orElse(true);
   }
 
   /** Returns the one-way delay of frames to a peer address. */
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/Membership.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/Membership.java
@@ -82,7 +82,7 @@
    * Returns whether this daemon has taken part without a break for long enough to know its region's
    * members. Until then it must not take itself for the only one responsible for anything.
    */
-  public boolean settled() {
+  public boolean converged() {
     return !brokeOff()
         && firstHeardAt
             .get()
@@ -144,7 +144,7 @@
   }
 
   /** Sends a message to the entries known in this daemon's region. */
-  public void tellRegionsEntries(PeerMessage message) {
+  public void sendToRegionEntries(PeerMessage message) {
     for (Member m : table.get().known(MemberInfo.ENTRY, self.region())) {
       transport.send(m.info().peerAddress(), message);
     }
@@ -156,7 +156,7 @@
    *
    * @param acrossRegions whether other regions are told too
    */
-  public void spread(PeerMessage message, boolean acrossRegions) {
+  public void sendToRandomMembers(PeerMessage message, boolean acrossRegions) {
     List<Member> inRegion = new ArrayList<>();
     List<Member> elsewhere = new ArrayList<>();
     table
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/peer/MembershipTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/peer/MembershipTest.java
@@ -45,18 +45,18 @@
       hear(membership, i);
       membership.beat(report());
     }
-    assertThat(membership.settled(), is(true));
+    assertThat(membership.converged(), is(true));
     now = now.plusSeconds(frozenSeconds);
-    assertThat("before the first beat", membership.settled(), is(settled));
+    assertThat("before the first beat", membership.converged(), is(settled));
     membership.beat(report());
     assertThat(membership.table().get("entry-2").isPresent(), is(true));
-    assertThat("after the first beat", membership.settled(), is(settled));
+    assertThat("after the first beat", membership.converged(), is(settled));
     for (int i = 1; i <= SETTLING_INTERVALS; i++) {
       now = now.plus(INTERVAL);
       hear(membership, SETTLING_INTERVALS + i);
       membership.beat(report());
     }
-    assertThat("settled again", membership.settled(), is(true));
+    assertThat("settled again", membership.converged(), is(true));
   }
 
   private static Gossiper.SelfReport report() {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/EndpointHealth.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/EndpointHealth.java
@@ -35,7 +35,7 @@
   }
 
   /** Notes that a request to the endpoint failed in the endpoint or on the way. */
-  public void failed(String endpointId, Instant now) {
+  public void recordFailure(String endpointId, Instant now) {
     failing.compute(
         endpointId,
         (id, seen) -> {
@@ -46,7 +46,7 @@
   }
 
   /** Notes that the endpoint asked to get nothing for a while. */
-  public void askedForPause(String endpointId, Duration pause, Instant now) {
+  public void recordPause(String endpointId, Duration pause, Instant now) {
     Instant until = now.plus(pause);
     pausedUntil.merge(endpointId, until, (one, other) -> one.isAfter(other) ? one : other);
   }
@@ -60,12 +60,12 @@
   }
 
   /** Notes that the endpoint answered. */
-  public void succeeded(String endpointId) {
+  public void recordSuccess(String endpointId) {
     failing.remove(endpointId);
   }
 
   /** Returns the endpoints to pass over now. */
-  public Set<String> passedOver(Instant now) {
+  public Set<String> isInBackoff(Instant now) {
     if (failing.isEmpty()) {
       return Set.of();
     }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/error/ErrorKind.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/error/ErrorKind.java
@@ -87,7 +87,7 @@
   }
 
   /** Returns true when the kind guarantees that no endpoint received the request. */
-  public boolean provesNotRun() {
+  public boolean guaranteesNotRun() {
     return this != OUTCOME_UNKNOWN && this != CHANGE_UNKNOWN;
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/StateLease.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/StateLease.java
@@ -23,7 +23,7 @@
   private static final int MOST_OPEN = 64;
 
   private final Duration validity;
-  private final Map<Long, Clocks> open = BoundedMap.forgettingFirst(MOST_OPEN);
+  private final Map<Long, Clocks> open = BoundedMap.evictingOldest(MOST_OPEN);
   private long lastId;
   private Clocks provedAt = new Clocks(Instant.MIN, Instant.MIN);
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/idempotency/IdempotencyTable.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/idempotency/IdempotencyTable.java
@@ -52,7 +52,7 @@
     }
 
     /** Returns the same record, expiring at another time. */
-    public Entry expiringAt(Instant when) {
+    public Entry withExpiry(Instant when) {
       return new Entry(key, state, claimant, status, contentType, body, when);
     }
 
@@ -126,7 +126,7 @@
   public void merge(Entry replicated, Instant now) {
     entries.merge(
         replicated.key(),
-        replicated.expiringAt(now.plus(retention)),
+        replicated.withExpiry(now.plus(retention)),
         (mine, theirs) -> theirs.supersedes(mine) ? theirs : mine);
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Member.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Member.java
@@ -10,11 +10,11 @@
  *
  * @param info how the daemon described itself
  * @param liveness its newest sign of life
- * @param heardAt when that arrived, by whatever way
+ * @param lastSeenAt when that arrived, by whatever way
  * @param freeSlotsByModel its region's free capacity by model, for an entry of another region
  */
 public record Member(
-    MemberInfo info, Liveness liveness, Instant heardAt, Map<String, Integer> freeSlotsByModel) {
+    MemberInfo info, Liveness liveness, Instant lastSeenAt, Map<String, Integer> freeSlotsByModel) {
 
   /** Copies the map so the record is immutable. */
   public Member {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/MemberTable.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/MemberTable.java
@@ -149,7 +149,7 @@
     members.replaceAll(
         (id, m) ->
             m.info().region().equals(digest.region())
-                ? new Member(m.info(), m.liveness(), m.heardAt(), digest.freeSlotsByModel())
+                ? new Member(m.info(), m.liveness(), m.lastSeenAt(), digest.freeSlotsByModel())
                 : m);
     for (MemberInfo contact : digest.contacts()) {
       if (!follows(contact)) {
@@ -198,7 +198,7 @@
 
   /** Returns the status of a member at the given time. */
   public MemberStatus status(Member member, Instant now) {
-    Duration silence = Duration.between(member.heardAt(), now);
+    Duration silence = Duration.between(member.lastSeenAt(), now);
     if (!follows(member.info())) {
       silence = silence.dividedBy(OTHER_REGION_PATIENCE);
     }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/misc/BoundedMap.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/misc/BoundedMap.java
@@ -22,12 +22,12 @@
   }
 
   /** Returns a map that forgets the entry put first. */
-  public static <K, V> BoundedMap<K, V> forgettingFirst(int mostEntries) {
+  public static <K, V> BoundedMap<K, V> evictingOldest(int mostEntries) {
     return new BoundedMap<>(mostEntries, /* accessOrder= */ false);
   }
 
   /** Returns a map that forgets the entry that was not read or put for longest. */
-  public static <K, V> BoundedMap<K, V> forgettingUnused(int mostEntries) {
+  public static <K, V> BoundedMap<K, V> evictingLeastRecentlyUsed(int mostEntries) {
     return new BoundedMap<>(mostEntries, /* accessOrder= */ true);
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/TrackedEndpoints.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/TrackedEndpoints.java
@@ -34,7 +34,7 @@
 
   /** By incarnation, those of endpoints included that the control instances have forgotten. */
   private final Map<String, AdvertisedConditions> conditions =
-      BoundedMap.forgettingUnused(CONDITIONS_KEPT);
+      BoundedMap.evictingLeastRecentlyUsed(CONDITIONS_KEPT);
 
   private final Listener listener;
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/QuarantineTrials.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/QuarantineTrials.java
@@ -29,7 +29,7 @@
   /** Contents remembered at most that are being tried. */
   private static final int MOST_RUNNING = 256;
 
-  private final Map<RequestFingerprint, Instant> triedAt = BoundedMap.forgettingFirst(MOST_RUNNING);
+  private final Map<RequestFingerprint, Instant> triedAt = BoundedMap.evictingOldest(MOST_RUNNING);
 
   /**
    * Returns whether this entry runs a quarantined content now, and notes that it does.
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/RecentCompletions.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/RecentCompletions.java
@@ -21,7 +21,7 @@
   static final int MOST_CONTENTS = 4_096;
 
   private final Map<RequestFingerprint, Instant> completedAt =
-      BoundedMap.forgettingUnused(MOST_CONTENTS);
+      BoundedMap.evictingLeastRecentlyUsed(MOST_CONTENTS);
 
   /** Notes that an endpoint has answered a content in full. */
   public void record(RequestFingerprint content, Instant now) {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/SuspicionLedger.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/SuspicionLedger.java
@@ -45,7 +45,7 @@
   private static final int MOST_DISPROVED = 1_024;
 
   private final Map<RequestFingerprint, Entry> entries = new LinkedHashMap<>();
-  private final Map<String, Instant> disproved = BoundedMap.forgettingFirst(MOST_DISPROVED);
+  private final Map<String, Instant> disproved = BoundedMap.evictingOldest(MOST_DISPROVED);
   private int recurringDigest;
   private int quarantinedDigest;
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/UnansweredRuns.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/UnansweredRuns.java
@@ -36,7 +36,7 @@
    */
   private static final Duration LAST_WORDS = Duration.ofSeconds(1);
 
-  private final Map<String, Endpoint> endpoints = BoundedMap.forgettingFirst(MOST_ENDPOINTS);
+  private final Map<String, Endpoint> endpoints = BoundedMap.evictingOldest(MOST_ENDPOINTS);
 
   /** What became of a run. */
   public enum Kind {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/Quota.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/Quota.java
@@ -6,9 +6,9 @@
  * @param perSecond the lasting rate, in units a second
  * @param burst what may be asked for at once after a pause, in units
  * @param unit what is counted
- * @param plainTokens the tokens that a request counts which states none
+ * @param defaultTokens the tokens that a request counts which states none
  */
-public record Quota(double perSecond, double burst, Unit unit, long plainTokens) {
+public record Quota(double perSecond, double burst, Unit unit, long defaultTokens) {
   /** What a quota counts. */
   public enum Unit {
     REQUESTS,
@@ -25,6 +25,6 @@
     if (unit == Unit.REQUESTS) {
       return 1;
     }
-    return statedTokens > 0 ? statedTokens : plainTokens;
+    return statedTokens > 0 ? statedTokens : defaultTokens;
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/Route.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/Route.java
@@ -20,7 +20,7 @@
  * @param resumable whether a stream may go on at another endpoint after an event
  * @param pauseObjective the longest pause between two events that callers want, for streams
  * @param homeRegions the regions that may run its requests; empty for any
- * @param open whether callers need no key of an organisation
+ * @param authExempt whether callers need no key of an organisation
  */
 public record Route(
     String name,
@@ -35,7 +35,7 @@
     boolean resumable,
     Optional<Duration> pauseObjective,
     Set<String> homeRegions,
-    boolean open) {
+    boolean authExempt) {
 
   /** Copies the collections so the route is immutable. */
   public Route {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/RouteTable.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/RouteTable.java
@@ -114,7 +114,7 @@
   }
 
   /** Returns whether callers show a key, but on open routes. */
-  public boolean keysNeeded() {
+  public boolean requiresApiKeys() {
     return keysNeeded;
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/GatewayView.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/GatewayView.java
@@ -15,7 +15,7 @@
    * @param endpointId the endpoint
    * @param prefixHash the {@link org.lacewingcroft.misc.PrefixHash} of the prefix
    */
-  boolean sentPrefix(String endpointId, String prefixHash);
+  boolean recentlySentPrefix(String endpointId, String prefixHash);
 
   /** Returns what the other regions reported of their free capacity. */
   List<RegionSummary> otherRegions();
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/RouteRequest.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/RouteRequest.java
@@ -10,7 +10,7 @@
  * @param priority the request priority, such as {@code normal}
  * @param residency the regions where it may be served; empty means any region
  * @param forwarded true if another region's gateway already forwarded it here
- * @param passedOver endpoints (by id) and regions that have failed this request or are failing now
+ * @param excludedEndpoints endpoints (by id) and regions that have failed this request or are failing now
  * @param promptChars the prompt's length in characters, which reading it without a cache costs
  * @param affinityKey a key for prefix-cache affinity, such as a hash of the prompt's prefix
  */
@@ -20,14 +20,14 @@
     String priority,
     Set<String> residency,
     boolean forwarded,
-    Set<String> passedOver,
+    Set<String> excludedEndpoints,
     int promptChars,
     String affinityKey) {
 
   /** Copies the residency so the record is immutable. */
   public RouteRequest {
     residency = Set.copyOf(residency);
-    passedOver = Set.copyOf(passedOver);
+    excludedEndpoints = Set.copyOf(excludedEndpoints);
   }
 
   /** Returns whether the residency allows serving in this region. */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/Router.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/Router.java
@@ -130,7 +130,7 @@
     return view.otherRegions().stream()
         .filter(r -> !r.region().equals(localRegion))
         .filter(r -> allowed(r.region(), residency, rule))
-        .filter(r -> !request.passedOver().contains(r.region()))
+        .filter(r -> !request.excludedEndpoints().contains(r.region()))
         .filter(r -> r.freeSlots(request.model()) > 0)
         .max(
             Comparator.comparingInt((RegionSummary r) -> r.freeSlots(request.model()))
@@ -178,7 +178,7 @@
     for (Endpoint e : serving) {
       if (e.region().equals(localRegion)
           && e.acceptsWork(now)
-          && !request.passedOver().contains(e.id())
+          && !request.excludedEndpoints().contains(e.id())
           && selector.matches(e.labels())) {
         candidates.add(new Candidate(e, view.inFlightTo(e.id()), cached(e, prefixHash, view)));
       }
@@ -188,6 +188,6 @@
 
   private static boolean cached(Endpoint e, String prefixHash, GatewayView view) {
     return !prefixHash.isEmpty()
-        && (e.cachedPrefixes().contains(prefixHash) || view.sentPrefix(e.id(), prefixHash));
+        && (e.cachedPrefixes().contains(prefixHash) || view.recentlySentPrefix(e.id(), prefixHash));
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/endpoint/EndpointHealthTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/endpoint/EndpointHealthTest.java
@@ -26,20 +26,20 @@
   void passesOverLongerAfterEachFailure(int failures, long laterMillis, boolean passedOver) {
     EndpointHealth health = new EndpointHealth(Duration.ofSeconds(1));
     for (int i = 0; i < failures; i++) {
-      health.failed("e1", T0);
+      health.recordFailure("e1", T0);
     }
-    assertThat(health.passedOver(T0.plusMillis(laterMillis)).contains("e1"), is(passedOver));
-    health.succeeded("e1");
-    assertThat(health.passedOver(T0), is(Set.of()));
+    assertThat(health.isInBackoff(T0.plusMillis(laterMillis)).contains("e1"), is(passedOver));
+    health.recordSuccess("e1");
+    assertThat(health.isInBackoff(T0), is(Set.of()));
   }
 
   /** A success of another request says nothing of the pause that the endpoint asked for. */
   @Test
   void pauseLastsAsLongAsTheEndpointAskedFor() {
     EndpointHealth health = new EndpointHealth(Duration.ofSeconds(1));
-    health.askedForPause("e1", Duration.ofSeconds(3), T0);
-    health.askedForPause("e1", Duration.ofSeconds(1), T0.plusMillis(100));
-    health.succeeded("e1");
+    health.recordPause("e1", Duration.ofSeconds(3), T0);
+    health.recordPause("e1", Duration.ofSeconds(1), T0.plusMillis(100));
+    health.recordSuccess("e1");
     assertThat(health.paused(T0.plusMillis(2_999)), is(Map.of("e1", Duration.ofMillis(1))));
     assertThat(health.paused(T0.plusMillis(3_000)), is(Map.of()));
   }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/route/RouteTableTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/route/RouteTableTest.java
@@ -132,8 +132,8 @@
             List.of(),
             RequestLimits.DEFAULT,
             List.of(organisation("desk", "k1", "k2"), organisation("crew", "k3")));
-    assertThat(table.keysNeeded(), is(true));
-    assertThat(RouteTable.EMPTY.keysNeeded(), is(false));
+    assertThat(table.requiresApiKeys(), is(true));
+    assertThat(RouteTable.EMPTY.requiresApiKeys(), is(false));
     assertThat(table.organisationOf("k2").map(Organisation::name), is(Optional.of("desk")));
     assertThat(table.organisationOf("k4"), is(Optional.empty()));
   }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/routing/RouterTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/routing/RouterTest.java
@@ -194,7 +194,7 @@
       }
 
       @Override
-      public boolean sentPrefix(String endpointId, String prefixHash) {
+      public boolean recentlySentPrefix(String endpointId, String prefixHash) {
         return false;
       }
 
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
@@ -61,7 +61,7 @@
         }
 
         @Override
-        public boolean sentPrefix(String endpointId, String prefixHash) {
+        public boolean recentlySentPrefix(String endpointId, String prefixHash) {
           return false;
         }
 
