--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/AggregatedUpdateChannel.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/AggregatedUpdateChannel.java
@@ -42,7 +42,8 @@
       long unreadTokens,
       Optional<OptionalDouble> rate) {
     private static Told of(FleetMessage.EndpointLoad load) {
-      long tokens = load.pendingPrompts().stream().mapToLong(FleetMessage.UnreadPrompt::tokens).sum();
+      long tokens =
+          load.pendingPrompts().stream().mapToLong(FleetMessage.UnreadPrompt::tokens).sum();
       return new Told(
           load.endpoint(),
           load.running(),
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/DirectUpdateChannel.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/DirectUpdateChannel.java
@@ -28,7 +28,8 @@
   private final FleetTransport transport;
   private final Supplier<List<EntryInfo>> entries;
 
-  DirectUpdateChannel(FleetSettings settings, FleetTransport transport, Supplier<List<EntryInfo>> entries) {
+  DirectUpdateChannel(
+      FleetSettings settings, FleetTransport transport, Supplier<List<EntryInfo>> entries) {
     this.settings = settings;
     this.transport = transport;
     this.entries = entries;
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetBounds.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetBounds.java
@@ -13,8 +13,8 @@
  * @param extraSendWindow the span in which they are counted
  * @param warmupOvershoot factor on a cold endpoint's rate that is tolerated
  * @param warmupSlack requests a second that are tolerated besides
- * @param revocationDelay time after which a key that was withdrawn is accepted nowhere any more, not
- *     even by entries that no control instance reaches; empty if those may go on
+ * @param revocationDelay time after which a key that was withdrawn is accepted nowhere any more,
+ *     not even by entries that no control instance reaches; empty if those may go on
  */
 public record FleetBounds(
     Duration shutdownGrace,
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
@@ -160,7 +160,9 @@
    * @param lastByteAt when this entry last had a byte of it
    */
   void ended(EndpointRecord endpoint, Instant lastByteAt) {
-    unanswered.endpointCrashed(endpoint.incarnationId(), lastByteAt, clock.instant()).forEach(this::suspect);
+    unanswered
+        .endpointCrashed(endpoint.incarnationId(), lastByteAt, clock.instant())
+        .forEach(this::suspect);
   }
 
   /** Notes that an endpoint that was taken for lost is back, as the same incarnation. */
@@ -213,9 +215,12 @@
   void heard(FleetMessage.SuspicionUpdate update) {
     Instant now = clock.instant();
     for (Suspicion suspicion : update.suspicions()) {
-      ledger.merge(suspicion, now).ifPresent(known -> QuarantineLog.logChange(known, update.from()));
+      ledger
+          .merge(suspicion, now)
+          .ifPresent(known -> QuarantineLog.logChange(known, update.from()));
       RequestFingerprint content = suspicion.content();
-      if (ledger.quarantined(content, now).isPresent() && completions.isRecentlyCompleted(content, now)) {
+      if (ledger.quarantined(content, now).isPresent()
+          && completions.isRecentlyCompleted(content, now)) {
         learn(Suspicion.cleared(content));
       }
     }
@@ -236,7 +241,8 @@
     if (pulse.quarantineDigest() == digest()) {
       return;
     }
-    List<Suspicion> known = ledger.withCrashesOrCleared(Suspicion.QUARANTINE_THRESHOLD, clock.instant());
+    List<Suspicion> known =
+        ledger.withCrashesOrCleared(Suspicion.QUARANTINE_THRESHOLD, clock.instant());
     if (!known.isEmpty()) {
       transport.send(pulse.from(), new FleetMessage.SuspicionUpdate(self, 0, known));
     }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionExchange.java
@@ -76,7 +76,8 @@
       return;
     }
     saving = true;
-    List<Suspicion> recurring = ledger.withCrashesOrCleared(SuspicionLedger.RECURRING_THRESHOLD, clock.instant());
+    List<Suspicion> recurring =
+        ledger.withCrashesOrCleared(SuspicionLedger.RECURRING_THRESHOLD, clock.instant());
     vertx
         .<Void>executeBlocking(
             () -> {
@@ -127,7 +128,9 @@
   /** Tells another control instance of the recurring contents if it knows others. */
   void compare(FleetMessage.ControlHello hello) {
     if (hello.recurringDigest() != recurringDigest()) {
-      tell(List.of(hello.from()), ledger.withCrashesOrCleared(SuspicionLedger.RECURRING_THRESHOLD, clock.instant()));
+      tell(
+          List.of(hello.from()),
+          ledger.withCrashesOrCleared(SuspicionLedger.RECURRING_THRESHOLD, clock.instant()));
     }
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
@@ -121,13 +121,15 @@
     if (done) {
       return;
     }
-    Optional<Future<Boolean>> pending = context.node().quarantine().pendingCrashProbe(request.fingerprint());
+    Optional<Future<Boolean>> pending =
+        context.node().quarantine().pendingCrashProbe(request.fingerprint());
     if (pending.isPresent()) {
       pending.get().onComplete(known -> place());
       return;
     }
     // Whatever runs a quarantined content ends, with all requests that run beside it.
-    Optional<Duration> quarantined = context.node().quarantine().remainingQuarantine(request.fingerprint());
+    Optional<Duration> quarantined =
+        context.node().quarantine().remainingQuarantine(request.fingerprint());
     if (quarantined.isPresent()) {
       refuseQuarantined(quarantined.get());
       return;
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/UpstreamTarget.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/UpstreamTarget.java
@@ -23,7 +23,8 @@
     Optional<EntryInfo> entry,
     Optional<Placement.PrefixFetch> fetch) {
 
-  static UpstreamTarget endpoint(Placement.ToEndpoint here, EndpointTracker.InFlightRequest ticket) {
+  static UpstreamTarget endpoint(
+      Placement.ToEndpoint here, EndpointTracker.InFlightRequest ticket) {
     EndpointTracker endpoint = here.endpoint();
     return new UpstreamTarget(
         endpoint.record().id(),
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ContentQuarantine.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ContentQuarantine.java
@@ -98,7 +98,8 @@
 
   private synchronized boolean suspect(Suspicion suspicion) {
     Instant now = clock.instant();
-    return !completions.isRecentlyCompleted(suspicion.content(), now) && learn(suspicion, "seen here", now);
+    return !completions.isRecentlyCompleted(suspicion.content(), now)
+        && learn(suspicion, "seen here", now);
   }
 
   private void tell(Suspicion suspicion) {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetMessage.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetMessage.java
@@ -180,7 +180,8 @@
    * @param complete whether it has nothing in flight at endpoints that are not named
    * @param loads its work by endpoint
    */
-  record LoadReport(String from, boolean complete, List<EndpointLoad> loads) implements FleetMessage {}
+  record LoadReport(String from, boolean complete, List<EndpointLoad> loads)
+      implements FleetMessage {}
 
   /**
    * One entry's work at one endpoint.
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetRecords.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetRecords.java
@@ -123,7 +123,8 @@
   }
 
   private static EndpointCrash unpackEnd(MessageUnpacker u) throws IOException {
-    return new EndpointCrash(u.unpackString(), Duration.ofMillis(u.unpackLong()), u.unpackBoolean());
+    return new EndpointCrash(
+        u.unpackString(), Duration.ofMillis(u.unpackLong()), u.unpackBoolean());
   }
 
   static Suspicion unpackSuspicion(MessageUnpacker u) throws IOException {
@@ -153,8 +154,7 @@
     }
   }
 
-  private static void packRate(MessagePacker p, EndpointRateLimit.Report rate)
-      throws IOException {
+  private static void packRate(MessagePacker p, EndpointRateLimit.Report rate) throws IOException {
     p.packBoolean(rate.perSecond().isPresent());
     if (rate.perSecond().isPresent()) {
       p.packDouble(rate.perSecond().getAsDouble());
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/EndpointTracker.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/EndpointTracker.java
@@ -283,7 +283,8 @@
     int priority = bounded(request.priority());
     double ahead = tokensAhead(priority, now);
     long unread = Math.max(0, uncachedTokens(request) - fetchedTokens);
-    InFlightRequest ticket = new InFlightRequest(new ReadingQueue.Unread(priority, unread, now), ahead);
+    InFlightRequest ticket =
+        new InFlightRequest(new ReadingQueue.Unread(priority, unread, now), ahead);
     if (running == 0) {
       lastByteAt = now;
     }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placement.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placement.java
@@ -53,7 +53,8 @@
    * @param retryAfter when it is worth coming back
    * @param evidence what decided it, for the log
    */
-  record Refused(Reason reason, Duration retryAfter, RefusalDetails evidence) implements Placement {}
+  record Refused(Reason reason, Duration retryAfter, RefusalDetails evidence)
+      implements Placement {}
 
   /**
    * The waits that a refusal went by.
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placer.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placer.java
@@ -140,8 +140,7 @@
     Optional<RegionLoads.Offer> elsewhere =
         around
             .regions()
-            .flatMap(
-                r -> r.best(request, around.allowedRegions(), around.excludedRegions(), now));
+            .flatMap(r -> r.best(request, around.allowedRegions(), around.excludedRegions(), now));
     double patience = patienceMillis(request, here.map(Scored::readMillis).orElse(0.0));
     boolean goodHere = here.isPresent() && waitHere(here.get(), request, now) <= patience;
     boolean goodElsewhere =
@@ -154,7 +153,8 @@
     if (goodHere && !betterElsewhere) {
       Scored best = here.get();
       double tokenMillis = best.endpoint().tokenMillis(now);
-      return new Placement.ToEndpoint(best.endpoint(), best.firstByteMillis(), tokenMillis, best.fetch());
+      return new Placement.ToEndpoint(
+          best.endpoint(), best.firstByteMillis(), tokenMillis, best.fetch());
     }
     if (goodElsewhere) {
       return new Placement.ToRegion(
@@ -232,7 +232,8 @@
             ? OptionalDouble.of(elsewhere.get().waitMillis())
             : OptionalDouble.empty();
     Placement.RefusalDetails evidence =
-        new Placement.RefusalDetails(rounded(waitHere), rounded(waitElsewhere), Math.round(patience));
+        new Placement.RefusalDetails(
+            rounded(waitHere), rounded(waitElsewhere), Math.round(patience));
     if (here.isEmpty() && elsewhere.isEmpty()) {
       Optional<Duration> pause =
           homeHere(around) ? pauseHere(request, around, now) : Optional.empty();
@@ -306,7 +307,8 @@
             + request.expectedOutputTokens() * pace
             + READ_AGAIN_FACTOR * e.readMillis(request, readAgain)
             + FETCH_FACTOR * e.readMillis(request, fetched)
-            + LATENESS_FACTOR * Math.max(0, millis - SAFE_SHARE * request.firstByteObjective().toMillis())
+            + LATENESS_FACTOR
+                * Math.max(0, millis - SAFE_SHARE * request.firstByteObjective().toMillis())
             + FAILURE_MILLIS * e.recentFailures(now)
             + (firstInRank ? 0 : RANK_MILLIS);
     return new Scored(e, readMillis, millis, score, fetch);
@@ -361,8 +363,7 @@
     return one.record().failureDomain().equals(other.record().failureDomain());
   }
 
-  private boolean usable(
-      EndpointTracker e, PlacementRequest request, Context around, Instant now) {
+  private boolean usable(EndpointTracker e, PlacementRequest request, Context around, Instant now) {
     if (!e.acceptsRequests(now)
         || request.excludedEndpoints().contains(e.record().id())
         || e.inFlight() >= around.maxInFlightPerEndpoint()
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/EndpointCrash.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/EndpointCrash.java
@@ -7,7 +7,8 @@
  *
  * @param incarnation the incarnation that ended, as {@code id@start}
  * @param age how long ago it ended
- * @param detectedByTimeout whether it just fell silent, so that the moment of its end is known only roughly
+ * @param detectedByTimeout whether it just fell silent, so that the moment of its end is known only
+ *     roughly
  */
 public record EndpointCrash(String incarnation, Duration age, boolean detectedByTimeout) {
   /** Nothing is younger than now. */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/SuspicionLedger.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/SuspicionLedger.java
@@ -124,7 +124,10 @@
     Instant clearedAt = knownCleared.isAfter(heardCleared) ? knownCleared : heardCleared;
     Map<String, End> ends = new TreeMap<>(known.map(Entry::ends).orElse(Map.of()));
     for (EndpointCrash end : suspicion.crashes()) {
-      ends.merge(end.incarnation(), new End(now.minus(end.age()), end.detectedByTimeout()), End::mergedWith);
+      ends.merge(
+          end.incarnation(),
+          new End(now.minus(end.age()), end.detectedByTimeout()),
+          End::mergedWith);
     }
     ends.entrySet().removeIf(e -> isRefuted(e.getKey(), e.getValue(), clearedAt));
     keepLatest(ends);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/RouteRequest.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/RouteRequest.java
@@ -10,7 +10,8 @@
  * @param priority the request priority, such as {@code normal}
  * @param residency the regions where it may be served; empty means any region
  * @param forwarded true if another region's gateway already forwarded it here
- * @param excludedEndpoints endpoints (by id) and regions that have failed this request or are failing now
+ * @param excludedEndpoints endpoints (by id) and regions that have failed this request or are
+ *     failing now
  * @param promptChars the prompt's length in characters, which reading it without a cache costs
  * @param affinityKey a key for prefix-cache affinity, such as a hash of the prompt's prefix
  */
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/EndpointRosterTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/EndpointRosterTest.java
@@ -98,7 +98,8 @@
     Instant later = START.plus(LEASE).plusMillis(1);
     assertThat(roster.expire(later, LEASE).size(), equalTo(1));
     assertThat(roster.expire(later, LEASE).size(), equalTo(0));
-    assertThat(roster.applyAnnouncement(record("old", READY, 2, 0), later).isPresent(), equalTo(true));
+    assertThat(
+        roster.applyAnnouncement(record("old", READY, 2, 0), later).isPresent(), equalTo(true));
     assertThat(roster.find("old").orElseThrow().state(), equalTo(READY));
   }
 
@@ -109,8 +110,10 @@
     long left = roster.records(START.plusMillis(1_000)).iterator().next().coldMillis();
     assertThat(left, equalTo(2_000L));
     Instant warm = START.plusMillis(4_000);
-    assertThat(roster.applyAnnouncement(record("old", READY, 2, 0), warm).isPresent(), equalTo(false));
-    assertThat(roster.applyAnnouncement(record("old", READY, 3, 3_000), warm).isPresent(), equalTo(true));
+    assertThat(
+        roster.applyAnnouncement(record("old", READY, 2, 0), warm).isPresent(), equalTo(false));
+    assertThat(
+        roster.applyAnnouncement(record("old", READY, 3, 3_000), warm).isPresent(), equalTo(true));
   }
 
   @Test
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/FleetCodecTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/FleetCodecTest.java
@@ -49,14 +49,12 @@
                   2,
                   List.of(new UnreadPrompt(3, 13_300, 20)),
                   Optional.of(
-                      new EndpointRateLimit.Report(
-                          OptionalDouble.of(1.1), Duration.ofMillis(40)))),
+                      new EndpointRateLimit.Report(OptionalDouble.of(1.1), Duration.ofMillis(40)))),
               new EndpointLoad(
                   "i-2",
                   1,
                   List.of(),
-                  Optional.of(
-                      new EndpointRateLimit.Report(OptionalDouble.empty(), Duration.ZERO))),
+                  Optional.of(new EndpointRateLimit.Report(OptionalDouble.empty(), Duration.ZERO))),
               new EndpointLoad("i-3", 0, List.of(), Optional.empty())));
   private static final PrefixRead PREFIX =
       new PrefixRead("i-1", List.of(new ReadPart("5c1e07a2", 800), new ReadPart("", 0)));
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/EndpointRateLimitTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/EndpointRateLimitTest.java
@@ -156,9 +156,11 @@
   void answerToAnEarlierRequestDoesNotEndTheLimit() {
     EndpointRateLimit limit = new EndpointRateLimit();
     limit.updateFromResponse(OptionalDouble.of(2), START, START.plusMillis(50));
-    assertThat(limit.updateFromResponse(NONE, START.plusMillis(40), START.plusMillis(60)), is(false));
+    assertThat(
+        limit.updateFromResponse(NONE, START.plusMillis(40), START.plusMillis(60)), is(false));
     assertThat(limit.perSecond(), is(OptionalDouble.of(2)));
-    assertThat(limit.updateFromResponse(NONE, START.plusMillis(70), START.plusMillis(90)), is(true));
+    assertThat(
+        limit.updateFromResponse(NONE, START.plusMillis(70), START.plusMillis(90)), is(true));
     assertThat(limit.perSecond(), is(NONE));
   }
 
@@ -170,7 +172,8 @@
     EndpointRateLimit.Report limited = one.report(START.plusMillis(20)).orElseThrow();
     other.updateFromPeer(limited, START.plusMillis(20));
     other.updateFromResponse(NONE, START.plusMillis(30), START.plusMillis(40));
-    assertThat(other.updateFromPeer(one.report(START.plusMillis(50)).orElseThrow(), START), is(false));
+    assertThat(
+        other.updateFromPeer(one.report(START.plusMillis(50)).orElseThrow(), START), is(false));
     assertThat(
         one.updateFromPeer(other.report(START.plusMillis(60)).orElseThrow(), START.plus(NEWS_AGE)),
         is(true));
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/FleetQuotasTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/FleetQuotasTest.java
@@ -103,7 +103,8 @@
 
     private void tell() {
       Map<String, Long> uses = new HashMap<>();
-      entries.forEach(e -> e.drainUnreportedUsage().forEach((n, use) -> uses.merge(n, use, Long::sum)));
+      entries.forEach(
+          e -> e.drainUnreportedUsage().forEach((n, use) -> uses.merge(n, use, Long::sum)));
       onTheWay.add(new News(now, uses));
       while (!onTheWay.isEmpty() && !onTheWay.peek().at().plus(NEWS_AGE).isAfter(now)) {
         Map<String, Long> arrived = onTheWay.remove().uses();
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/LoadReplay.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/LoadReplay.java
@@ -269,7 +269,8 @@
     Engine engine = engineOf(chosen);
     long fetched = here.fetch().map(Placement.PrefixFetch::tokens).orElse(0L);
     long uncached = chosen.uncachedTokens(arrival.request()) - fetched;
-    EndpointTracker.InFlightRequest ticket = chosen.startRequest(arrival.request(), fetched, KV_TOKENS, now);
+    EndpointTracker.InFlightRequest ticket =
+        chosen.startRequest(arrival.request(), fetched, KV_TOKENS, now);
     if (uncached >= LONG_PROMPT_TOKENS) {
       tellOthers(engine, entry, now);
     }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerTest.java
@@ -173,7 +173,8 @@
   @MethodSource("statedRows")
   void nothingIsSentAgainstWhatTheOnlyEndpointStates(Stated row) {
     EndpointTracker endpoint = tracker("i-1", EndpointState.READY, 0);
-    row.perSecond().ifPresent(r -> endpoint.rateLimit().updateFromResponse(row.perSecond(), NOW, NOW));
+    row.perSecond()
+        .ifPresent(r -> endpoint.rateLimit().updateFromResponse(row.perSecond(), NOW, NOW));
     endpoint.conditions().pause(row.pause(), NOW);
     endpoint.markFull(NOW.plusMillis(row.laterMillis()));
     Placement placement =
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PrefixFetchTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PrefixFetchTest.java
@@ -148,7 +148,9 @@
             (e, now) -> begin(e, now).finish(EndpointTracker.Outcome.ANSWERED, now),
             true),
         new HolderRow(
-            "is full", (e, now) -> begin(e, now).finish(EndpointTracker.Outcome.NOT_RUN, now), true),
+            "is full",
+            (e, now) -> begin(e, now).finish(EndpointTracker.Outcome.NOT_RUN, now),
+            true),
         new HolderRow(
             "breaks off an answer",
             (e, now) -> begin(e, now).finish(EndpointTracker.Outcome.FAILED, now),
@@ -184,7 +186,8 @@
     Placer.Context around =
         around(List.of(tracker("target", "a")), List.of(holder), FAST_LINK_MBPS, Set.of());
     PlacementRequest again = request(List.of(COMMON, CONTRACT), Set.of("holder"));
-    Placement.ToEndpoint here = (Placement.ToEndpoint) new Placer(3, new Random(1)).place(again, around, NOW);
+    Placement.ToEndpoint here =
+        (Placement.ToEndpoint) new Placer(3, new Random(1)).place(again, around, NOW);
     assertThat(here.fetch().isPresent(), equalTo(false));
   }
 
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/SilentEndpointTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/SilentEndpointTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.lacewingcroft.fleet.EndpointRecord;
 import org.lacewingcroft.fleet.EndpointState;
-import org.lacewingcroft.placement.EndpointTracker.Outcome;
 import org.lacewingcroft.placement.EndpointTracker.InFlightRequest;
+import org.lacewingcroft.placement.EndpointTracker.Outcome;
 
 /** What is believed of an endpoint after its last request ended without a byte. */
 class SilentEndpointTest {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/StreamReplay.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/StreamReplay.java
@@ -49,7 +49,8 @@
     private double promptLeft = PROMPT_TOKENS;
     private int made;
 
-    private Stream(EndpointTracker.InFlightRequest ticket, Instant deadline, int tokens, boolean counts) {
+    private Stream(
+        EndpointTracker.InFlightRequest ticket, Instant deadline, int tokens, boolean counts) {
       this.ticket = ticket;
       this.deadline = deadline;
       this.tokens = tokens;
@@ -137,7 +138,8 @@
     if (placer.place(request, around, now) instanceof Placement.ToEndpoint here) {
       Engine engine =
           engines.stream().filter(e -> e.tracker == here.endpoint()).findFirst().orElseThrow();
-      EndpointTracker.InFlightRequest ticket = engine.tracker.startRequest(request, 0, 345_000, now);
+      EndpointTracker.InFlightRequest ticket =
+          engine.tracker.startRequest(request, 0, 345_000, now);
       engine.unread.add(new Stream(ticket, now.plus(DEADLINE), tokens, counts));
     }
   }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/quarantine/QuarantineTrialsTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/quarantine/QuarantineTrialsTest.java
@@ -53,7 +53,9 @@
       String name, int ends, Duration lastAge, boolean tried) {
     Suspicion known = quarantined(ends, lastAge);
     long trying =
-        ENTRIES.stream().filter(e -> new QuarantineTrials().tryStartTrial(known, e, ENTRIES, NOW)).count();
+        ENTRIES.stream()
+            .filter(e -> new QuarantineTrials().tryStartTrial(known, e, ENTRIES, NOW))
+            .count();
     assertThat(trying, is(tried ? 1L : 0L));
   }
 
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/quarantine/SuspicionLedgerTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/quarantine/SuspicionLedgerTest.java
@@ -66,7 +66,9 @@
     SuspicionLedger ledger = ledger(endpoints.toArray(String[]::new));
     assertThat(ledger.remainingQuarantine(CONTENT, NOW).isPresent(), is(quarantined));
     assertThat(ledger.remainingQuarantine(new RequestFingerprint(8), NOW).isPresent(), is(false));
-    assertThat(ledger.withCrashesOrCleared(Suspicion.QUARANTINE_THRESHOLD, NOW), hasSize(quarantined ? 1 : 0));
+    assertThat(
+        ledger.withCrashesOrCleared(Suspicion.QUARANTINE_THRESHOLD, NOW),
+        hasSize(quarantined ? 1 : 0));
     assertThat(ledger.quarantined(NOW), hasSize(quarantined ? 1 : 0));
   }
 
@@ -230,7 +232,8 @@
     for (SuspicionLedger from : ledgers) {
       for (SuspicionLedger to : ledgers) {
         if (from.recurringDigest() != to.recurringDigest()) {
-          from.withCrashesOrCleared(SuspicionLedger.RECURRING_THRESHOLD, now).forEach(s -> to.merge(s, now));
+          from.withCrashesOrCleared(SuspicionLedger.RECURRING_THRESHOLD, now)
+              .forEach(s -> to.merge(s, now));
         }
       }
     }
@@ -279,7 +282,8 @@
       String name, Duration lastByteAfter, Duration endedAfter, boolean suspect) {
     UnansweredRuns runs = new UnansweredRuns();
     assertThat(runs.record("e", CONTENT, Kind.GIVEN_UP, NOW).isPresent(), is(false));
-    List<Suspicion> suspects = runs.endpointCrashed("e", NOW.plus(lastByteAfter), NOW.plus(endedAfter));
+    List<Suspicion> suspects =
+        runs.endpointCrashed("e", NOW.plus(lastByteAfter), NOW.plus(endedAfter));
     List<RequestFingerprint> contents = suspects.stream().map(Suspicion::content).toList();
     assertThat(contents, is(suspect ? List.of(CONTENT) : List.of()));
     assertThat(runs.endpointCrashed("e", NOW, NOW), is(List.of()));
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/stream/EventSplitterTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/stream/EventSplitterTest.java
@@ -38,7 +38,8 @@
       }
       assertThat(out.toString(), equalTo(row.passedOn()));
       assertThat(splitter.lastId().orElse(-1), equalTo(row.lastId()));
-      assertThat(new String(splitter.incompleteEvent(), StandardCharsets.UTF_8), equalTo(row.rest()));
+      assertThat(
+          new String(splitter.incompleteEvent(), StandardCharsets.UTF_8), equalTo(row.rest()));
     }
   }
 }
