--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/Endpoint.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/Endpoint.java
@@ -5,23 +5,25 @@
 import java.util.Set;
 
 /**
- * An endpoint as it announced itself, with the lease that keeps it in the directory.
+ * An endpoint as it announced itself, with the lease under which the directory lists it.
  *
- * @param id unique id the endpoint chose, stable across its heartbeats
- * @param baseUrl where to send work, such as {@code http://127.0.0.1:8100}
- * @param region the region it runs in
+ * @param id the unique id that the endpoint chose, the same in all its heartbeats
+ * @param baseUrl the URL to send requests to, such as {@code http://127.0.0.1:8100}
+ * @param region the region that it runs in
  * @param failureDomain the failure domain inside the region
- * @param kind engine or plain service
- * @param labels the labels selectors match against
- * @param models the models it serves (empty for plain services)
- * @param capacity how many requests it serves at once before queueing
- * @param checksFencing whether it refuses orders with an old fencing token
- * @param draining true once it announced that it is leaving: it gets no new work
- * @param reportedLoad the requests in flight it last reported (reports lag)
- * @param cachedPrefixes hashes of prompt prefixes its cache was said to hold; late and with gaps
- * @param sequence rises with each of the endpoint's announcements, so that a late one is told from
- *     a new one; 0 if the endpoint does not number them
- * @param leaseExpiresAt when the endpoint leaves the directory unless it renews
+ * @param kind whether it is an engine or a plain service
+ * @param labels the labels that selectors match against
+ * @param models the models that it serves; empty for plain services
+ * @param capacity the number of requests that it serves concurrently before it queues
+ * @param checksFencing whether it refuses orders with a stale fencing token
+ * @param draining whether it announced that it is draining; it then gets no new requests
+ * @param reportedLoad the number of requests in flight that it last reported; reports lag behind
+ * @param cachedPrefixes the hashes of the prompt prefixes that its cache events report as cached;
+ *     the events arrive late and with gaps
+ * @param sequence the announcement's sequence number, which increases with each announcement of the
+ *     endpoint so that a delayed one can be detected; 0 if the endpoint does not number them
+ * @param leaseExpiresAt the time at which the endpoint is removed from the directory unless it
+ *     renews its lease
  */
 public record Endpoint(
     String id,
@@ -39,24 +41,27 @@
     long sequence,
     Instant leaseExpiresAt) {
 
-  /** Copies the collections so the record is immutable. */
+  /** Copies the collections so that the record is immutable. */
   public Endpoint {
     labels = Map.copyOf(labels);
     models = Set.copyOf(models);
     cachedPrefixes = Set.copyOf(cachedPrefixes);
   }
 
-  /** Returns whether the endpoint may get new work at the given time. */
+  /** Returns whether the endpoint may be sent new requests at the given time. */
   public boolean acceptsWork(Instant now) {
     return !draining && now.isBefore(leaseExpiresAt);
   }
 
-  /** Returns whether this announcement was made after the other, or neither is numbered. */
+  /**
+   * Returns whether this announcement replaces the other: its sequence number is not lower, which
+   * also holds if neither is numbered.
+   */
   boolean supersedes(Endpoint other) {
     return sequence >= other.sequence;
   }
 
-  /** Returns the same announcement with its lease ending at another time. */
+  /** Returns a copy of this announcement whose lease expires at the given time. */
   public Endpoint leasedUntil(Instant end) {
     return new Endpoint(
         id,
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/EndpointDirectory.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/EndpointDirectory.java
@@ -11,10 +11,10 @@
 import java.util.stream.Collectors;
 
 /**
- * An immutable snapshot of the endpoints a daemon knows, keyed by id.
+ * An immutable snapshot of the endpoints that a daemon has recorded, keyed by id.
  *
- * <p>Daemons keep one of these in an {@code AtomicReference} and replace it on every announce or
- * expiry (read-copy-update), so the request path reads it without locks.
+ * <p>A daemon stores the current directory in an {@code AtomicReference} and replaces it on each
+ * announcement and expiry (read-copy-update), so that the request path reads it without locks.
  */
 public final class EndpointDirectory {
   /** A directory with no endpoints. */
@@ -37,16 +37,16 @@
   }
 
   /**
-   * Returns the endpoints that announced this model or service name, ordered by id; built once per
-   * snapshot so the request path does not scan the whole directory.
+   * Returns the endpoints that announced this model or service name, ordered by id. The lists are
+   * built once per snapshot, so that the request path does not scan the whole directory.
    */
   public List<Endpoint> serving(String model) {
     return byModel.getOrDefault(model, List.of());
   }
 
   /**
-   * Returns a directory with this endpoint added or its previous announcement replaced; an
-   * announcement older than the one held changes nothing.
+   * Returns a directory with this endpoint added or its previous announcement replaced. An
+   * announcement that is older than the recorded one has no effect.
    */
   public EndpointDirectory with(Endpoint endpoint) {
     Endpoint held = byId.get(endpoint.id());
@@ -58,7 +58,7 @@
     return new EndpointDirectory(next);
   }
 
-  /** Returns a directory without the endpoints whose lease ended before {@code now}. */
+  /** Returns a directory without the endpoints whose lease has expired at {@code now}. */
   public EndpointDirectory withoutExpired(Instant now) {
     if (byId.values().stream().allMatch(e -> now.isBefore(e.leaseExpiresAt()))) {
       return this;
@@ -69,12 +69,12 @@
             .collect(Collectors.toMap(Endpoint::id, e -> e)));
   }
 
-  /** Returns the endpoint with this id, if known. */
+  /** Returns the endpoint with this id; empty if the directory has none. */
   public Optional<Endpoint> get(String id) {
     return Optional.ofNullable(byId.get(id));
   }
 
-  /** Returns all endpoints in no particular order. */
+  /** Returns all endpoints, in no particular order. */
   public Collection<Endpoint> all() {
     return byId.values();
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/EndpointHealth.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/EndpointHealth.java
@@ -9,14 +9,17 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * What this entry has itself seen of endpoints' failures. An endpoint that fails is passed over for
- * a while, twice as long after each further failure up to a bound, and is forgiven by a success. An
- * announcement's lease may still be running while the endpoint is already gone.
+ * Records the endpoint failures and pause requests that this entry has observed itself.
  *
- * <p>An endpoint that asks for a pause gets nothing in it, whatever else there is: it has said that
- * it would turn the request away.
+ * <p>An endpoint that fails is in backoff for a while, twice as long after each further failure up
+ * to a maximum; a success ends the backoff. Leases alone do not suffice, because the lease of an
+ * endpoint that has crashed may not have expired yet.
+ *
+ * <p>An endpoint that requested a pause gets no requests during the pause, even if there is no
+ * other endpoint, because it announced that it would reject them.
  */
 public final class EndpointHealth {
+  /** The number of doublings after which the backoff no longer grows. */
   private static final int MAX_DOUBLINGS = 5;
 
   private record Failing(int failures, Instant until) {}
@@ -26,15 +29,15 @@
   private final Duration firstPause;
 
   /**
-   * Creates an empty record.
+   * Creates a record without any failures or pauses.
    *
-   * @param firstPause how long an endpoint is passed over after its first failure
+   * @param firstPause the duration of the backoff after the first failure of an endpoint
    */
   public EndpointHealth(Duration firstPause) {
     this.firstPause = firstPause;
   }
 
-  /** Notes that a request to the endpoint failed in the endpoint or on the way. */
+  /** Records that a request failed at the endpoint or on the connection to it. */
   public void recordFailure(String endpointId, Instant now) {
     failing.compute(
         endpointId,
@@ -45,13 +48,15 @@
         });
   }
 
-  /** Notes that the endpoint asked to get nothing for a while. */
+  /** Records that the endpoint requested a pause; of several pauses the latest end applies. */
   public void recordPause(String endpointId, Duration pause, Instant now) {
     Instant until = now.plus(pause);
     pausedUntil.merge(endpointId, until, (one, other) -> one.isAfter(other) ? one : other);
   }
 
-  /** Returns the endpoints that want nothing now, and how much longer. */
+  /**
+   * Returns the remaining pause of each endpoint that is paused at the given time, by endpoint id.
+   */
   public Map<String, Duration> paused(Instant now) {
     pausedUntil.values().removeIf(until -> !until.isAfter(now));
     Map<String, Duration> left = new HashMap<>();
@@ -59,12 +64,12 @@
     return left;
   }
 
-  /** Notes that the endpoint answered. */
+  /** Records that the endpoint responded, which ends its backoff but not a pause. */
   public void recordSuccess(String endpointId) {
     failing.remove(endpointId);
   }
 
-  /** Returns the endpoints to pass over now. */
+  /** Returns the ids of the endpoints that are in backoff at the given time. */
   public Set<String> isInBackoff(Instant now) {
     if (failing.isEmpty()) {
       return Set.of();
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/EndpointKind.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/EndpointKind.java
@@ -1,8 +1,8 @@
 package org.lacewingcroft.endpoint;
 
-/** What sort of back end an endpoint is. */
+/** The kind of back end that an endpoint runs. */
 public enum EndpointKind {
-  /** A model engine serving an OpenAI-compatible chat completion API. */
+  /** A model engine that serves an OpenAI-compatible chat completion API. */
   ENGINE,
   /** A plain HTTP service, such as a dispatch application or an order desk. */
   SERVICE
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/error/GatewayException.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/error/GatewayException.java
@@ -1,10 +1,10 @@
 package org.lacewingcroft.error;
 
 /**
- * A failure with a typed {@link ErrorKind}; its message names what went wrong and the remedy.
+ * A failure of a given {@link ErrorKind}; its message describes the failure and the remedy.
  *
- * <p>Thrown by the kernel's parsers and decisions and turned into an HTTP answer or a peer reply at
- * the boundary.
+ * <p>Thrown by the parsers and decision code of the kernel and converted to an HTTP response or a
+ * peer reply at the boundary.
  */
 public class GatewayException extends RuntimeException {
   private static final long serialVersionUID = 1L;
@@ -15,8 +15,8 @@
   /**
    * Creates an exception of the given kind.
    *
-   * @param kind the kind, which supplies the status and the remedy
-   * @param detail what went wrong, in one sentence without the remedy
+   * @param kind the kind, which determines the status and the remedy
+   * @param detail a description of the failure, in one sentence without the remedy
    */
   public GatewayException(ErrorKind kind, String detail) {
     super(detail + "; remedy: " + kind.remedy());
@@ -29,7 +29,7 @@
     return kind;
   }
 
-  /** Returns the detail without the remedy. */
+  /** Returns the description of the failure, without the remedy. */
   public String detail() {
     return detail;
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/idempotency/IdempotencyTable.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/idempotency/IdempotencyTable.java
@@ -9,34 +9,34 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * One replica of the at-most-once records: for each idempotency key who claimed it and whether its
- * request is running, done (with the answer to replay) or of unknown outcome.
+ * One replica of the at-most-once records, which store for each idempotency key its claimant and
+ * whether its request is running, done (with the response to replay) or of unknown outcome.
  *
- * <p>A key is claimed by one {@link Claimant} only, at every replica of the key; whoever finds it
- * claimed is given the record instead. Only a request refused before any endpoint received it is
- * released, so that a retry may run it. Records expire after the retention period.
+ * <p>Each replica grants a key to one {@link Claimant} only; a claim of a key that is already
+ * claimed returns the existing record. A claim is released only if its request was refused before
+ * any endpoint received it, so that a retry may run it. Records expire after the retention period.
  */
 public final class IdempotencyTable {
-  /** The state of one key, in the order in which knowledge advances. */
+  /** The state of a key. In a merge, a later constant replaces an earlier one. */
   public enum State {
-    /** Claimed, and dispatched or about to be; no answer yet. */
+    /** The key is claimed; its request has been or will be dispatched and has no response yet. */
     RUNNING,
-    /** Dispatched and failed in a way that leaves the outcome unknown. */
+    /** The request was dispatched and failed in a way that leaves its outcome unknown. */
     UNKNOWN,
-    /** Answered; the answer is kept for replay. */
+    /** The request is complete; the response is stored for replay. */
     DONE
   }
 
   /**
-   * One key's record.
+   * The record of a key.
    *
    * @param key the idempotency key, prefixed by the organisation
-   * @param state its state
-   * @param claimant who claimed it
-   * @param status the HTTP status of the answer, when done
-   * @param contentType the answer's content type, when done
-   * @param body the answer's bytes, when done
-   * @param expiresAt when the record is forgotten
+   * @param state the state of the key
+   * @param claimant the claimant of the key
+   * @param status the HTTP status of the response if done, else 0
+   * @param contentType the content type of the response if done, else empty
+   * @param body the body of the response if done, else empty
+   * @param expiresAt the time at which the record expires
    */
   public record Entry(
       String key,
@@ -46,12 +46,12 @@
       String contentType,
       byte[] body,
       Instant expiresAt) {
-    /** Copies the body so the record is immutable. */
+    /** Copies the body so that the record does not change with the array that was passed in. */
     public Entry {
       body = body.clone();
     }
 
-    /** Returns the same record, expiring at another time. */
+    /** Returns a copy of this record that expires at the given time. */
     public Entry withExpiry(Instant when) {
       return new Entry(key, state, claimant, status, contentType, body, when);
     }
@@ -67,16 +67,17 @@
   /**
    * Creates an empty table.
    *
-   * @param retention how long a key's record is kept
+   * @param retention the time for which a record is retained after its last update
    */
   public IdempotencyTable(Duration retention) {
     this.retention = retention;
   }
 
   /**
-   * Claims a key for a request that this daemon is about to run.
+   * Claims a key for a request that this daemon will run. An expired record does not prevent the
+   * claim.
    *
-   * @return empty if the key is now claimed, else the record that stands in the way
+   * @return empty if the claim succeeded, else the existing record of the key
    */
   public Optional<Entry> claim(String key, Claimant claimant, Instant now) {
     Entry fresh = running(key, claimant, now);
@@ -87,9 +88,10 @@
   }
 
   /**
-   * Grants a claim made at another replica. A claim repeated by the same claimant is granted again.
+   * Claims a key for a claimant at another daemon. A claim that the same claimant repeats while its
+   * request is running is granted again.
    *
-   * @return empty if granted, else the record that stands in the way
+   * @return empty if the claim is granted, else the existing record of the key
    */
   public Optional<Entry> grant(String key, Claimant claimant, Instant now) {
     return claim(key, claimant, now)
@@ -100,7 +102,7 @@
     return new Entry(key, State.RUNNING, claimant, 0, "", new byte[0], now.plus(retention));
   }
 
-  /** Records the answer of a key that ran, and returns the record to replicate. */
+  /** Records the response to the request of a key and returns the record to replicate. */
   public Entry complete(
       String key, Claimant claimant, int status, String contentType, byte[] body, Instant now) {
     Entry done =
@@ -109,20 +111,23 @@
     return done;
   }
 
-  /** Records that a key's outcome is unknown, and returns the record to replicate. */
+  /**
+   * Records that the outcome of a key's request is unknown, unless the key is done, and returns the
+   * resulting record to replicate.
+   */
   public Entry markUnknown(String key, Claimant claimant, Instant now) {
     Entry unknown =
         new Entry(key, State.UNKNOWN, claimant, 0, "", new byte[0], now.plus(retention));
     return entries.merge(key, unknown, (held, theirs) -> theirs.supersedes(held) ? theirs : held);
   }
 
-  /** Forgets a claim whose request was refused before any endpoint received it. */
+  /** Removes a claim whose request was refused before any endpoint received it. */
   public void release(String key, Claimant claimant) {
     entries.computeIfPresent(
         key, (k, e) -> e.state() == State.RUNNING && e.claimant().equals(claimant) ? null : e);
   }
 
-  /** Merges a record replicated from another replica, keeping the more advanced state. */
+  /** Merges a record of another replica; the record with the later {@link State} is stored. */
   public void merge(Entry replicated, Instant now) {
     entries.merge(
         replicated.key(),
@@ -130,22 +135,22 @@
         (mine, theirs) -> theirs.supersedes(mine) ? theirs : mine);
   }
 
-  /** Returns the record of a key, if any. */
+  /** Returns the record of a key; empty if there is none. */
   public Optional<Entry> get(String key) {
     return Optional.ofNullable(entries.get(key));
   }
 
-  /** Returns every record held. */
+  /** Returns all records. */
   public Collection<Entry> all() {
     return List.copyOf(entries.values());
   }
 
-  /** Drops records past their retention. */
+  /** Removes the records that have expired. */
   public void expire(Instant now) {
     entries.values().removeIf(e -> e.expiresAt().isBefore(now));
   }
 
-  /** Returns the number of records held. */
+  /** Returns the number of records. */
   public int size() {
     return entries.size();
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/misc/BoundedMap.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/misc/BoundedMap.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * A map that forgets its oldest entry when it gets one too many, for what is remembered of an
- * unbounded number of things.
+ * A map that evicts its eldest entry when it exceeds a maximum size, for use with an unbounded
+ * number of keys.
  *
  * <p>Not thread-safe.
  */
@@ -21,12 +21,12 @@
     this.mostEntries = mostEntries;
   }
 
-  /** Returns a map that forgets the entry put first. */
+  /** Returns a map that evicts the entry that was inserted first. */
   public static <K, V> BoundedMap<K, V> evictingOldest(int mostEntries) {
     return new BoundedMap<>(mostEntries, /* accessOrder= */ false);
   }
 
-  /** Returns a map that forgets the entry that was not read or put for longest. */
+  /** Returns a map that evicts the least recently used entry; reads and writes count as use. */
   public static <K, V> BoundedMap<K, V> evictingLeastRecentlyUsed(int mostEntries) {
     return new BoundedMap<>(mostEntries, /* accessOrder= */ true);
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/misc/HybridLogicalClock.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/misc/HybridLogicalClock.java
@@ -3,11 +3,12 @@
 import java.time.InstantSource;
 
 /**
- * A hybrid logical clock: physical milliseconds plus a logical counter, so stamps from many
- * processes order events consistently with causality even when wall clocks drift a little.
+ * A hybrid logical clock, which combines physical milliseconds with a logical counter so that the
+ * order of stamps from several processes is consistent with causality even if their wall clocks
+ * differ slightly.
  *
- * <p>Stamps print as {@code <millis>.<counter>} with a zero-padded counter and sort as text in the
- * same order as the clock's. The clock is thread-safe.
+ * <p>Stamps have the form {@code <millis>.<counter>} with a zero-padded counter, so that their
+ * lexicographic order is the order of the clock. The clock is thread-safe.
  */
 public final class HybridLogicalClock {
   private static final int COUNTER_DIGITS = 6;
@@ -15,12 +16,12 @@
   private long physicalMillis;
   private long counter;
 
-  /** Creates a clock reading the given time source. */
+  /** Creates a clock that reads physical time from the given source. */
   public HybridLogicalClock(InstantSource source) {
     this.source = source;
   }
 
-  /** Returns a stamp for a local or send event. */
+  /** Advances the clock and returns the stamp of a local or send event. */
   public synchronized String tick() {
     long wall = source.millis();
     if (wall > physicalMillis) {
@@ -35,7 +36,7 @@
   /**
    * Merges a stamp received from another process and returns the stamp of the receive event.
    *
-   * @param remote a stamp produced by {@link #tick()} elsewhere; ignored if malformed
+   * @param remote a stamp that {@link #tick()} returned in another process; ignored if malformed
    */
   public synchronized String receive(String remote) {
     long wall = source.millis();
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/misc/Rendezvous.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/misc/Rendezvous.java
@@ -9,13 +9,13 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Rendezvous (highest random weight) hashing: every node ranks the same members the same way for a
- * key, and a member that joins or leaves moves only the keys it wins.
+ * Rendezvous (highest random weight) hashing. Every node ranks the same members in the same order
+ * for a key, and adding or removing a member reassigns only the keys that this member owns.
  */
 public final class Rendezvous {
   private Rendezvous() {}
 
-  /** Returns the weight of a member for a key; higher wins. */
+  /** Returns the weight of a member for a key; the member with the highest weight owns the key. */
   public static long weight(String member, String key) {
     return weight(member, keySeed(key));
   }
@@ -31,8 +31,8 @@
   }
 
   /**
-   * Returns the members in rendezvous order for the key, winner first; each member's weight is
-   * computed once, ties broken by id.
+   * Returns the members in rendezvous order for the key, the owner first. Each member's weight is
+   * computed once; ties are broken by id.
    */
   public static <T> List<T> rank(List<T> members, Function<T, String> id, String key) {
     int seed = keySeed(key);
@@ -50,7 +50,7 @@
     return ranked;
   }
 
-  /** Returns the winning member for the key, or empty if there are no members. */
+  /** Returns the member that owns the key; empty if there are no members. */
   public static <T> Optional<T> owner(List<T> members, Function<T, String> id, String key) {
     int seed = keySeed(key);
     Optional<Weighted<T>> best = Optional.empty();
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/misc/SteadyInstantSource.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/misc/SteadyInstantSource.java
@@ -4,8 +4,8 @@
 import java.time.InstantSource;
 
 /**
- * Instants that never jump: the wall clock's reading at the start, advanced by the steady clock.
- * Timeouts and leases measured with it survive a step of the time of day.
+ * An instant source whose instants are the wall-clock time at construction plus the monotonic time
+ * elapsed since. Timeouts and leases measured with it are unaffected by steps of the wall clock.
  */
 public final class SteadyInstantSource implements InstantSource {
   private final Instant startedAt = Instant.now();
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/FrameCodec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/FrameCodec.java
@@ -10,17 +10,19 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Frames peer messages for TCP: a 4-byte big-endian length, then a 32-byte HMAC-SHA256 tag over the
- * payload, then the payload (the sender's hybrid-logical-clock stamp and the MessagePack message).
+ * Encodes and decodes the frames of peer messages on TCP connections. A frame is a 4-byte
+ * big-endian length, a 32-byte HMAC-SHA256 tag over the payload, and the payload: a 2-byte
+ * big-endian stamp length, the sender's hybrid-logical-clock stamp in UTF-8 and the MessagePack
+ * message.
  *
- * <p>Frames over {@link #MAX_FRAME_BYTES} are refused before they are read, and a frame whose tag
- * does not verify is refused before its payload is parsed.
+ * <p>A frame larger than {@link #MAX_FRAME_BYTES} is rejected before its body is read, and a frame
+ * whose tag does not verify is rejected before its payload is parsed.
  */
 public final class FrameCodec {
-  /** The largest frame body accepted, in bytes, tag included. */
+  /** The maximum size of a frame body (tag and payload), in bytes. */
   public static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
-  /** Size of the length prefix in bytes. */
+  /** The size of the length prefix, in bytes. */
   public static final int LENGTH_BYTES = 4;
 
   private static final int TAG_BYTES = 32;
@@ -37,9 +39,10 @@
   public record Frame(String stamp, PeerMessage message) {}
 
   /**
-   * Creates a codec keyed by the deployment's shared secret.
+   * Creates a codec that authenticates frames with the deployment's shared secret.
    *
-   * @param secret the secret bytes, at least 16
+   * @param secret the shared secret, at least 16 bytes
+   * @throws IllegalArgumentException if the secret is shorter
    */
   public FrameCodec(byte[] secret) {
     if (secret.length < 16) {
@@ -49,7 +52,11 @@
     this.macs = ThreadLocal.withInitial(() -> newMac(key));
   }
 
-  /** Returns the whole frame, length prefix included. */
+  /**
+   * Returns the complete frame, including the length prefix.
+   *
+   * @throws MalformedFrameException if the frame exceeds {@link #MAX_FRAME_BYTES}
+   */
   public byte[] encode(String stamp, PeerMessage message) {
     byte[] stampBytes = stamp.getBytes(StandardCharsets.UTF_8);
     byte[] body = MessageCodec.encode(message);
@@ -58,7 +65,8 @@
     byte[] tag = tag(payload.array());
     int length = TAG_BYTES + payload.capacity();
     if (length > MAX_FRAME_BYTES) {
-      throw new MalformedFrameException("frame of " + length + " bytes exceeds the bound");
+      throw new MalformedFrameException(
+          "frame of " + length + " bytes exceeds the maximum frame size");
     }
     return ByteBuffer.allocate(LENGTH_BYTES + length)
         .putInt(length)
@@ -68,9 +76,9 @@
   }
 
   /**
-   * Checks a length prefix before the body is read.
+   * Validates a length prefix before the frame body is read, and returns it.
    *
-   * @throws MalformedFrameException if the length is out of bounds
+   * @throws MalformedFrameException if the length is out of range
    */
   public static int checkLength(int length) {
     if (length <= TAG_BYTES || length > MAX_FRAME_BYTES) {
@@ -81,21 +89,22 @@
   }
 
   /**
-   * Verifies and decodes a frame body (the bytes after the length prefix).
+   * Verifies and decodes a frame body, which is the bytes after the length prefix.
    *
-   * @throws MalformedFrameException if the tag is wrong or the payload undecodable
+   * @throws MalformedFrameException if the length is out of range, the tag does not verify or the
+   *     payload cannot be decoded
    */
   public Frame decode(byte[] body) {
     checkLength(body.length);
     byte[] tag = Arrays.copyOfRange(body, 0, TAG_BYTES);
     byte[] payload = Arrays.copyOfRange(body, TAG_BYTES, body.length);
     if (!MessageDigest.isEqual(tag, tag(payload))) {
-      throw new MalformedFrameException("frame tag does not verify: wrong shared secret?");
+      throw new MalformedFrameException("frame tag does not verify; check the shared secret");
     }
     ByteBuffer in = ByteBuffer.wrap(payload);
     int stampLength = in.getShort() & 0xffff;
     if (stampLength > in.remaining()) {
-      throw new MalformedFrameException("stamp length exceeds the frame");
+      throw new MalformedFrameException("stamp length exceeds the frame size");
     }
     byte[] stamp = new byte[stampLength];
     in.get(stamp);
@@ -105,9 +114,9 @@
   }
 
   /**
-   * Makes a thread's own authenticator, used again for each frame. It asks the usual provider by
-   * name: a search through all of them loads and verifies four others before the first frame of a
-   * process that has just started.
+   * Creates the {@link Mac} of a thread, which is reused for each frame. It requests the default
+   * provider by name, because a search through all providers loads and verifies four others before
+   * the first frame of a new process.
    */
   private static Mac newMac(SecretKeySpec key) {
     try {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/MalformedFrameException.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/MalformedFrameException.java
@@ -1,10 +1,13 @@
 package org.lacewingcroft.peer;
 
-/** A peer frame that is too large, badly tagged or undecodable; the frame is dropped and logged. */
+/**
+ * Thrown for a peer frame that is too large, fails authentication or cannot be decoded; the
+ * receiver drops and logs the frame.
+ */
 public class MalformedFrameException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** Creates the exception with a message naming what was wrong with the frame. */
+  /** Creates the exception with a message that describes the fault of the frame. */
   public MalformedFrameException(String message) {
     super(message);
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/MemberInfo.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/MemberInfo.java
@@ -1,15 +1,16 @@
 package org.lacewingcroft.peer;
 
 /**
- * How a daemon describes itself to its peers.
+ * The description of a daemon that its peers receive.
  *
  * @param nodeId the daemon's unique id, from {@code --node-id}
  * @param role {@code entry} or {@code control}
  * @param region its region
  * @param failureDomain its failure domain
- * @param peerAddress where its peer transport listens, {@code host:port}
- * @param httpAddress where its HTTP API listens, {@code host:port}
- * @param incarnation start time of the process in milliseconds; a restart raises it
+ * @param peerAddress the address of its peer transport, {@code host:port}
+ * @param httpAddress the address of its HTTP API, {@code host:port}
+ * @param incarnation the start time of its process, in milliseconds, which increases with each
+ *     restart
  */
 public record MemberInfo(
     String nodeId,
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/MessageCodec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/MessageCodec.java
@@ -23,7 +23,8 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Encodes {@link PeerMessage}s as MessagePack: a type tag followed by the fields in record order.
+ * Encodes and decodes {@link PeerMessage}s as MessagePack: a type tag followed by the fields of the
+ * message in record order.
  */
 public final class MessageCodec {
   private static final int GOSSIP = 1;
@@ -43,7 +44,7 @@
 
   private MessageCodec() {}
 
-  /** Returns the MessagePack bytes of a message. */
+  /** Returns the MessagePack encoding of a message. */
   public static byte[] encode(PeerMessage message) {
     try (MessageBufferPacker p = MessagePack.newDefaultBufferPacker()) {
       if (message instanceof PeerMessage.Gossip g) {
@@ -106,7 +107,7 @@
   /**
    * Decodes a message.
    *
-   * @throws MalformedFrameException if the bytes are not a known message
+   * @throws MalformedFrameException if the bytes are not a valid message of a known type
    */
   public static PeerMessage decode(byte[] bytes) {
     try (MessageUnpacker u = MessagePack.newDefaultUnpacker(bytes)) {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/PeerMessage.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/PeerMessage.java
@@ -11,20 +11,20 @@
 import org.lacewingcroft.membership.RegionDigest;
 
 /**
- * The typed messages daemons exchange over the peer transport, encoded by {@link MessageCodec} and
+ * A message that daemons exchange over the peer transport, encoded by {@link MessageCodec} and
  * framed by {@link FrameCodec}.
  */
 public sealed interface PeerMessage {
 
   /**
-   * A daemon's periodic gossip: its own heartbeat and those it has heard of.
+   * The periodic gossip of a daemon, with its own heartbeat and heartbeats that it has received.
    *
    * @param sender the sending daemon's description
-   * @param configVersion the configuration version in force at the sender
-   * @param signs the newest sign of life of the sender, its region's members and the control group
+   * @param configVersion the active configuration version of the sender
+   * @param signs the latest heartbeats of the sender, its region's members and the control group
    * @param introductions descriptions of some of those members
-   * @param digests what the sender knows of some regions
-   * @param asking whether the sender looks for members of its region and wants an answer
+   * @param digests the latest digests of some regions
+   * @param asking whether the sender is looking for members of its region and requests a reply
    */
   record Gossip(
       MemberInfo sender,
@@ -43,83 +43,83 @@
   }
 
   /**
-   * Tells a daemon that a configuration version is in force at the sender, without the document.
+   * Announces the active configuration version of the sender, without the document.
    *
-   * @param version the version
-   * @param replyTo the sender's peer address, to ask for the document
+   * @param version the configuration version
+   * @param replyTo the sender's peer address, for a {@link ConfigRequest}
    */
   record ConfigNotice(long version, String replyTo) implements PeerMessage {}
 
   /**
-   * An endpoint's announcement relayed to the other daemons of its region.
+   * An endpoint's announcement, relayed to the other daemons of its region.
    *
    * @param endpoint the endpoint with its lease
    */
   record EndpointAnnounce(Endpoint endpoint) implements PeerMessage {}
 
   /**
-   * A configuration version offered to a daemon, by push or in answer to {@link ConfigRequest}.
+   * A configuration version, pushed to a daemon or sent in reply to a {@link ConfigRequest}.
    *
-   * @param version the log index that accepted it
+   * @param version the index of the log entry that accepted it
    * @param document the YAML document
    */
   record ConfigOffer(long version, String document) implements PeerMessage {}
 
   /**
-   * The patches that lead from a version to the one in force at the sender, in answer to {@link
-   * ConfigRequest} where they are fewer bytes than the document.
+   * The patches from a configuration version to the active one of the sender, sent in reply to a
+   * {@link ConfigRequest} if they are smaller than the document.
    *
-   * @param baseVersion the version the first patch applies to
-   * @param patches the YAML of one patch a version, in order
+   * @param baseVersion the version that the first patch applies to
+   * @param patches one YAML patch per version, in order
    */
   record ConfigPatches(long baseVersion, List<String> patches) implements PeerMessage {
-    /** Copies the list so the message is immutable. */
+    /** Copies the list so that the message is immutable. */
     public ConfigPatches {
       patches = List.copyOf(patches);
     }
   }
 
   /**
-   * Asks the receiver for its configuration if it is newer than {@code haveVersion}.
+   * Requests the configuration of the receiver if it is newer than {@code haveVersion}.
    *
-   * @param haveVersion the version the sender already has
+   * @param haveVersion the configuration version of the sender
    * @param replyTo the sender's peer address
    */
   record ConfigRequest(long haveVersion, String replyTo) implements PeerMessage {}
 
   /**
-   * An at-most-once record with its outcome, sent to the other replicas of its key.
+   * An at-most-once record, replicated to the other replicas of its key.
    *
    * @param entry the record
    */
   record IdempotencyRecord(IdempotencyTable.Entry entry) implements PeerMessage {}
 
   /**
-   * Claims a key at a replica before its request is run.
+   * Claims an idempotency key at a replica before the request is run.
    *
-   * @param callId names the call in the reply
-   * @param key the key
-   * @param claimant who claims it
+   * @param callId the id of the call, which the reply repeats
+   * @param key the idempotency key
+   * @param claimant the process that claims it
    * @param replyTo the claimant's peer address
    */
   record KeyClaim(long callId, String key, Claimant claimant, String replyTo)
       implements PeerMessage {}
 
   /**
-   * Answers a {@link KeyClaim}.
+   * The reply to a {@link KeyClaim}.
    *
-   * @param callId the call
+   * @param callId the id of the call
    * @param from the replica's node id
-   * @param held the record that stands in the way; empty if the claim is granted
+   * @param held the existing record of the key; empty if the claim is granted
    */
   record KeyClaimReply(long callId, String from, Optional<IdempotencyTable.Entry> held)
       implements PeerMessage {}
 
   /**
-   * Takes a claim back: its request was refused and will not run.
+   * Releases a claim whose request was refused and will not run.
    *
-   * @param key the key
-   * @param claimant who had claimed it
+   * @param key the idempotency key
+   * @param claimant the process that claimed it
    */
   record KeyRelease(String key, Claimant claimant) implements PeerMessage {}
 
@@ -139,11 +139,11 @@
   record Fleet(FleetMessage message) implements PeerMessage {}
 
   /**
-   * Asks the other end of a connection for a {@link Pong} on the same connection, to tell a silent
-   * one from one that has nothing to say.
+   * Requests a {@link Pong} on the same connection, to distinguish an unresponsive peer from an
+   * idle one.
    */
   record Ping() implements PeerMessage {}
 
-  /** Answers a {@link Ping}. */
+  /** The reply to a {@link Ping}. */
   record Pong() implements PeerMessage {}
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/HostHeader.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/HostHeader.java
@@ -2,11 +2,11 @@
 
 import java.util.Locale;
 
-/** Reads the Host header of a request. */
+/** Parses the Host header of a request. */
 public final class HostHeader {
   private HostHeader() {}
 
-  /** Returns the host that a header names, in lower case and without its port. */
+  /** Returns the host of a Host header value, in lower case and without the port. */
   public static String nameOf(String header) {
     int colon = header.indexOf(':');
     String name = colon < 0 ? header : header.substring(0, colon);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/Organisation.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/Organisation.java
@@ -5,12 +5,13 @@
 import java.util.Set;
 
 /**
- * An organisation whose callers show a key.
+ * An organisation whose callers authenticate with an API key.
  *
- * @param name its name, which endpoints are told
- * @param keys the keys of its callers
- * @param priority the rank of its requests, 0 the most urgent; empty for that of the route
- * @param quota how much its callers may ask for; empty for any amount
+ * @param name its name, which is forwarded to endpoints
+ * @param keys the API keys of its callers
+ * @param priority the priority of its requests, 0 the most urgent; empty for the priority of the
+ *     route
+ * @param quota the limit on what its callers may request; empty for no limit
  * @param homeRegions the regions that may run its requests; empty for any
  */
 public record Organisation(
@@ -19,7 +20,7 @@
     OptionalInt priority,
     Optional<Quota> quota,
     Set<String> homeRegions) {
-  /** Copies the sets so that the organisation is immutable. */
+  /** Copies the sets so that the record is immutable. */
   public Organisation {
     keys = Set.copyOf(keys);
     homeRegions = Set.copyOf(homeRegions);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/QueuePriorities.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/QueuePriorities.java
@@ -7,15 +7,17 @@
 import java.util.Map;
 
 /**
- * How urgent each route's requests are in their service's queues: as its operators rank it, but no
- * less than a route that ranks before it and whose callers can wait at least as long.
+ * The priority of each route's requests in the queues of a service: the priority that the operator
+ * configured for the route, raised to that of the most urgent route of the same service whose
+ * latency objective is at least as long.
  *
- * <p>The load this answers is a peak at which long reviews with a short objective rank behind short
- * questions with a longer one. Read in that order, the reviews wait for every question that comes
- * meanwhile and are late, while the questions are early by a second. In arrival order both are in
- * time: at the capacity of three engines 96% of the reviews instead of 87% with four entries, at
- * 1.3 times the capacity 89% instead of 68%, the questions 99% both ways (simulated, 60 s, four
- * seeds).
+ * <p>This is designed for a load peak at which long reviews with a short latency objective have a
+ * lower priority than short questions with a longer one. If prompts are prefilled in that order,
+ * each review waits for every question that arrives in the meantime and misses its objective, while
+ * the questions finish a second early. If both have the same priority, prompts are prefilled in
+ * arrival order and both meet their objectives: with four entries, 96% of the reviews instead of
+ * 87% at the capacity of three engines and 89% instead of 68% at 1.3 times that capacity, and 99%
+ * of the questions either way (simulations of 60 s, four seeds).
  */
 final class QueuePriorities {
   private record Key(String route, String service) {}
@@ -41,7 +43,7 @@
         .reduce(route.priority(), Math::min);
   }
 
-  /** Returns a route's priority at a service, 0 the most urgent. */
+  /** Returns the priority of a route's requests at a service, 0 the most urgent. */
   int of(Route route, String service) {
     return priorities.getOrDefault(new Key(route.name(), service), route.priority());
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/Quota.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/Quota.java
@@ -1,25 +1,25 @@
 package org.lacewingcroft.route;
 
 /**
- * How much the callers of an organisation may ask for, at all entries together.
+ * The limit on what the callers of an organisation may request, over all entries together.
  *
- * @param perSecond the lasting rate, in units a second
- * @param burst what may be asked for at once after a pause, in units
- * @param unit what is counted
- * @param defaultTokens the tokens that a request counts which states none
+ * @param perSecond the sustained rate, in units per second
+ * @param burst the number of units that may be requested at once after an idle period
+ * @param unit the unit of the limit
+ * @param defaultTokens the number of tokens charged for a request that declares none
  */
 public record Quota(double perSecond, double burst, Unit unit, long defaultTokens) {
-  /** What a quota counts. */
+  /** The unit of a quota. */
   public enum Unit {
     REQUESTS,
-    /** Tokens of the prompt and the most tokens of the answer. */
+    /** Prompt tokens plus the maximum number of output tokens. */
     TOKENS
   }
 
   /**
-   * Returns what a request counts.
+   * Returns the number of units charged for a request.
    *
-   * @param statedTokens the tokens that it states, of its prompt and of its answer, 0 if none
+   * @param statedTokens the prompt and output tokens that the request declares, 0 if none
    */
   public long costOf(long statedTokens) {
     if (unit == Unit.REQUESTS) {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/RequestLimits.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/RequestLimits.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /**
- * What a caller may send and how long it may take.
+ * Limits on the size of requests and on the time that callers take to send them.
  *
- * @param maxHeaderBytes the largest head of a request
- * @param maxBodyBytes the largest body
- * @param headerTimeout how long a caller may take to send the head
- * @param idleTimeout how long a connection may stay unused
+ * @param maxHeaderBytes the maximum size of a request head, in bytes
+ * @param maxBodyBytes the maximum size of a request body, in bytes
+ * @param headerTimeout the maximum time for a caller to send the request head
+ * @param idleTimeout the time after which an idle connection is closed
  */
 public record RequestLimits(
     int maxHeaderBytes, int maxBodyBytes, Duration headerTimeout, Duration idleTimeout) {
-  /** Used until a document states others. */
+  /** The limits that apply until a routing document sets others. */
   public static final RequestLimits DEFAULT =
       new RequestLimits(16_384, 4_194_304, Duration.ofSeconds(3), Duration.ofSeconds(15));
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/Route.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/Route.java
@@ -6,21 +6,21 @@
 import java.util.Set;
 
 /**
- * Where the requests of one host and path prefix go, and how they may be treated.
+ * The services that requests of one host and path prefix are sent to, and how they are handled.
  *
- * @param name the route's name, for logs
+ * @param name the route's name, used in logs
  * @param host the host, in lower case without port
  * @param pathPrefix the prefix, beginning and ending with a slash
- * @param kind what may be repeated
- * @param timeout the longest that a request may go without its final answer
- * @param latencyObjective the time to the answer, of a stream to its first event, that callers want
- * @param priority the rank of its requests, 0 the most urgent
- * @param shares the services that may serve it, with their weights
- * @param maxAttempts how many endpoints one request may be run on
- * @param resumable whether a stream may go on at another endpoint after an event
- * @param pauseObjective the longest pause between two events that callers want, for streams
+ * @param kind whether requests may run more than once
+ * @param timeout the maximum time until the response to a request is complete
+ * @param latencyObjective the target time until the response, for a stream until its first event
+ * @param priority the priority of its requests, 0 the most urgent
+ * @param shares the services that may serve its requests, with their weights
+ * @param maxAttempts the maximum number of endpoints that one request may be run on
+ * @param resumable whether a stream that has sent an event may be resumed at another endpoint
+ * @param pauseObjective the target maximum time between two events of a stream; empty for none
  * @param homeRegions the regions that may run its requests; empty for any
- * @param authExempt whether callers need no key of an organisation
+ * @param authExempt whether callers need no API key
  */
 public record Route(
     String name,
@@ -37,7 +37,7 @@
     Set<String> homeRegions,
     boolean authExempt) {
 
-  /** Copies the collections so the route is immutable. */
+  /** Copies the collections so that the record is immutable. */
   public Route {
     shares = List.copyOf(shares);
     homeRegions = Set.copyOf(homeRegions);
@@ -48,15 +48,15 @@
     return kind == RouteKind.IDEMPOTENT || kind == RouteKind.STREAM && resumable;
   }
 
-  /** Returns whether the route's requests may run in a region. */
+  /** Returns whether the route's requests may run in the region. */
   public boolean allowsRegion(String region) {
     return homeRegions.isEmpty() || homeRegions.contains(region);
   }
 
   /**
-   * Picks a service by weight.
+   * Returns a service drawn at random by weight.
    *
-   * @param point a number drawn evenly from 0 (inclusive) to 1 (exclusive)
+   * @param point a random number, uniformly distributed from 0 (inclusive) to 1 (exclusive)
    */
   public String pick(double point) {
     int total = shares.stream().mapToInt(ServiceShare::weight).sum();
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/RouteDocumentParser.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/RouteDocumentParser.java
@@ -1,11 +1,11 @@
 package org.lacewingcroft.route;
 
-/** Reads an operator's routing document in the format of one deployment. */
+/** Parses routing documents in the format of a deployment. */
 public interface RouteDocumentParser {
   /**
-   * Reads and checks a document.
+   * Parses and validates a routing document.
    *
-   * @throws InvalidRouteTableException if it cannot be read in full or must not be put in force
+   * @throws InvalidRouteTableException if the document cannot be parsed completely or is invalid
    */
   RouteTable parse(String document);
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/RouteTable.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/RouteTable.java
@@ -11,11 +11,11 @@
 import java.util.stream.Collectors;
 
 /**
- * One version of the routing document, checked and indexed: hosts and path prefixes to routes, and
- * the services they name. Immutable.
+ * One validated version of the routing document, which indexes the routes by host and path prefix
+ * and the services by name. Immutable.
  */
 public final class RouteTable {
-  /** The table before any document is known: it matches nothing. */
+  /** The table that applies until a document is loaded; it matches no request. */
   public static final RouteTable EMPTY =
       new RouteTable(0, List.of(), List.of(), RequestLimits.DEFAULT);
 
@@ -27,17 +27,18 @@
   private final Map<String, Organisation> organisationsByKey = new HashMap<>();
   private final boolean keysNeeded;
 
-  /** Checks and indexes a document without organisations: callers need no keys. */
+  /** Validates and indexes a document without organisations; callers need no API keys. */
   public RouteTable(
       long version, List<Route> routes, List<ServiceSpec> services, RequestLimits limits) {
     this(version, routes, services, limits, List.of());
   }
 
   /**
-   * Checks and indexes a document.
+   * Validates and indexes a document.
    *
-   * @throws InvalidRouteTableException if two routes share a place, or a route names an unknown
-   *     service, has weights that add up to 0 or no timeout, or two organisations share a key
+   * @throws InvalidRouteTableException if two routes share a host and path prefix; if a route names
+   *     an unknown service, has a negative weight, weights that add up to 0, no timeout, or a path
+   *     prefix that does not begin and end with a slash; or if two organisations share an API key
    */
   public RouteTable(
       long version,
@@ -103,49 +104,52 @@
     }
   }
 
-  /** Returns the operator's version. */
+  /** Returns the version that the operator gave the document. */
   public long version() {
     return version;
   }
 
-  /** Returns the limits on callers. */
+  /** Returns the limits on requests. */
   public RequestLimits limits() {
     return limits;
   }
 
-  /** Returns whether callers show a key, but on open routes. */
+  /**
+   * Returns whether callers need an API key, except on routes that are exempt from authentication.
+   */
   public boolean requiresApiKeys() {
     return keysNeeded;
   }
 
-  /** Returns the organisations that have keys. */
+  /** Returns the organisations that have at least one API key. */
   public Collection<Organisation> organisations() {
     return Set.copyOf(organisationsByKey.values());
   }
 
-  /** Returns the organisation that holds a key. */
+  /** Returns the organisation that an API key belongs to; empty for an unknown key. */
   public Optional<Organisation> organisationOf(String key) {
     return Optional.ofNullable(organisationsByKey.get(key));
   }
 
-  /** Returns a service's specification. */
+  /** Returns the specification of a service; empty for an unknown service. */
   public Optional<ServiceSpec> service(String name) {
     return Optional.ofNullable(services.get(name));
   }
 
-  /** Returns the engine of a service; empty for a plain service or one that is not known. */
+  /** Returns the engine properties of a service; empty for a plain or an unknown service. */
   public Optional<ServiceSpec.Engine> engine(String service) {
     return service(service).flatMap(ServiceSpec::engine);
   }
 
-  /** Returns how urgent a route's requests are in a service's queues, 0 the most urgent. */
+  /** Returns the priority of a route's requests in the queues of a service, 0 the most urgent. */
   public int queuePriority(Route route, String service) {
     return queuePriorities.of(route, service);
   }
 
   /**
-   * Returns the regions that may run every request to a host: those that all of its routes with
-   * homes have in common. Empty if none of its routes has homes, or none is common.
+   * Returns the regions that may run every request to a host, which are the home regions that all
+   * of its routes with home regions have in common. Empty if no route of the host has home regions
+   * or if they have none in common.
    */
   public Set<String> homesOf(String hostHeader) {
     Set<String> common = new HashSet<>();
@@ -164,7 +168,7 @@
   }
 
   /**
-   * Returns the route with the longest prefix that begins a path.
+   * Returns the route with the longest path prefix that matches; empty if none matches.
    *
    * @param hostHeader the Host header, with or without port
    * @param path the path without query
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/ServiceSpec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/ServiceSpec.java
@@ -4,13 +4,14 @@
 import java.util.Optional;
 
 /**
- * What the operator says of a service.
+ * The properties of a service that the operator configured.
  *
  * @param name the service's name
- * @param maxConnections connections that one of its endpoints accepts from all callers together
- * @param warmup how long an endpoint is cold after its start
- * @param coldRequestsPerSecond requests a second that a cold endpoint bears
- * @param engine the model engine's properties; empty for a plain service
+ * @param maxConnections the maximum number of connections that each of its endpoints accepts in
+ *     total
+ * @param warmup the time after its start during which an endpoint is cold
+ * @param coldRequestsPerSecond the maximum request rate of a cold endpoint, per second
+ * @param engine the properties of its model engine; empty for a plain service
  */
 public record ServiceSpec(
     String name,
@@ -22,24 +23,26 @@
   /**
    * The properties of a batching model engine.
    *
-   * @param slots requests that run at once
-   * @param kvCapacityTokens tokens that its KV cache holds
-   * @param tokenKvBytes what one token takes in the KV cache
-   * @param eventTokens the tokens that one event of an answer holds
-   * @param linkMbps the speed at which engines send KV cache to each other, in Mbit/s; 0 if they
-   *     cannot
+   * @param slots the maximum number of requests that run concurrently
+   * @param kvCapacityTokens the capacity of its KV cache, in tokens
+   * @param tokenKvBytes the size of one token in the KV cache, in bytes
+   * @param eventTokens the number of output tokens in one event of a response
+   * @param linkMbps the bandwidth between engines for KV cache transfers, in Mbit/s; 0 if engines
+   *     cannot transfer KV cache
    */
   public record Engine(
       int slots, long kvCapacityTokens, int eventTokens, double tokenKvBytes, double linkMbps) {
     private static final double BITS_PER_BYTE = 8;
     private static final double BITS_PER_MILLI_AT_ONE_MBPS = 1_000;
 
-    /** Returns whether engines can fetch KV cache from each other. */
+    /** Returns whether engines support KV cache fetches from each other. */
     public boolean fetches() {
       return linkMbps > 0 && tokenKvBytes > 0;
     }
 
-    /** Returns how long the KV cache of some tokens takes from one engine to another, in ms. */
+    /**
+     * Returns the time to transfer the KV cache of a number of tokens between two engines, in ms.
+     */
     public double transferMillis(long tokens) {
       return tokens * tokenKvBytes * BITS_PER_BYTE / (linkMbps * BITS_PER_MILLI_AT_ONE_MBPS);
     }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/CacheAwarePolicy.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/CacheAwarePolicy.java
@@ -6,26 +6,32 @@
 import org.lacewingcroft.misc.Rendezvous;
 
 /**
- * Weighs an engine's load against the cost of reading a prompt prefix again.
+ * Weighs an engine's load against the cost of prefilling a prompt prefix again.
  *
- * <p>The engine with the lowest score is chosen: its estimated load (batching makes load cheap
- * until the slots run out, then requests queue), plus up to 1 for the prompt's length unless its
- * cache is believed to hold the prefix (from its late and gappy cache events, or because this
- * gateway sent it there lately), plus {@link #RANK_PENALTY} unless it is the prefix's first engine
- * in rendezvous order. The last term makes gateways that know nothing yet agree on where a prefix
- * goes.
+ * <p>The engine with the lowest score is chosen. The score is the sum of three terms. The first is
+ * the estimated load, which costs little until the slots run out, because engines batch requests,
+ * and much once requests queue. The second is up to 1 for the length of the prompt, unless the
+ * engine is assumed to cache the prefix, either from its cache events, which arrive late and with
+ * gaps, or because this gateway recently sent the prefix there. The third is {@link #RANK_PENALTY},
+ * unless the engine is first in the prefix's rendezvous order; with this term, gateways without any
+ * cache information choose the same engine for a prefix.
  */
 public final class CacheAwarePolicy implements RoutingPolicy {
   /** The policy's name in settings. */
   public static final String NAME = "cache-aware";
 
-  /** The prompt length, in characters, whose reading is worth a whole engine's load. */
+  /**
+   * The prompt length, in characters, from which a cache miss adds 1 to the score, as much as full
+   * utilisation.
+   */
   public static final double FULL_MISS_CHARS = 4_000;
 
-  /** What the first place in rendezvous order is worth. */
+  /** The amount added to the score of each engine that is not first in rendezvous order. */
   public static final double RANK_PENALTY = 0.1;
 
+  /** The utilisation from which further load adds {@link #QUEUE_PENALTY} per unit. */
   private static final double CROWDED_UTILISATION = 0.75;
+
   private static final double QUEUE_PENALTY = 4;
 
   private record Scored(Candidate candidate, double score) {}
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/GatewayView.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/GatewayView.java
@@ -2,21 +2,21 @@
 
 import java.util.List;
 
-/** What a gateway knows by itself when it routes, next to what endpoints announce. */
+/** The state of a gateway that its routing uses in addition to the announcements of endpoints. */
 public interface GatewayView {
 
-  /** Returns this gateway's requests in flight to an endpoint. */
+  /** Returns the number of requests that this gateway has in flight to an endpoint. */
   int inFlightTo(String endpointId);
 
   /**
-   * Returns whether this gateway has lately sent the prompt prefix to the endpoint, so that it is
-   * probably in the endpoint's cache although no cache event said so yet.
+   * Returns whether this gateway recently sent the prompt prefix to the endpoint, which therefore
+   * probably caches it although no cache event has reported it yet.
    *
-   * @param endpointId the endpoint
+   * @param endpointId the id of the endpoint
    * @param prefixHash the {@link org.lacewingcroft.misc.PrefixHash} of the prefix
    */
   boolean recentlySentPrefix(String endpointId, String prefixHash);
 
-  /** Returns what the other regions reported of their free capacity. */
+  /** Returns the free capacity that the other regions reported. */
   List<RegionSummary> otherRegions();
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/PrefixAffinityPolicy.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/PrefixAffinityPolicy.java
@@ -6,18 +6,19 @@
 import org.lacewingcroft.misc.Rendezvous;
 
 /**
- * Sends requests that share a prompt prefix to the same engine, so its prefix cache hits.
+ * Sends requests that share a prompt prefix to the same engine, so that they hit its prefix cache.
  *
  * <p>The engine is chosen by rendezvous hashing of the request's affinity key over the candidates;
- * when that engine's estimated utilisation reaches {@link #SPILL_UTILISATION} the request spills to
- * the next engine in rendezvous order, and if all are that busy it falls back to least utilisation.
- * Rendezvous order moves only the keys of an engine that joins or leaves.
+ * if that engine's estimated utilisation reaches {@link #SPILL_UTILISATION}, the request spills
+ * over to the next engine in rendezvous order, and if all engines reach it, to the one with the
+ * lowest utilisation. When an engine is added or removed, rendezvous hashing reassigns only the
+ * keys of that engine.
  */
 public final class PrefixAffinityPolicy implements RoutingPolicy {
   /** The policy's name in settings. */
   public static final String NAME = "prefix-affinity";
 
-  /** Utilisation at which a request no longer waits for its preferred engine. */
+  /** The estimated utilisation from which a request spills over to the next engine. */
   public static final double SPILL_UTILISATION = 1.0;
 
   @Override
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/RouteDecision.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/RouteDecision.java
@@ -2,7 +2,7 @@
 
 import org.lacewingcroft.error.ErrorKind;
 
-/** The outcome of routing one request: serve here, forward once, or refuse. */
+/** The outcome of routing one request: serve it in this region, forward it, or refuse it. */
 public sealed interface RouteDecision {
 
   /**
@@ -14,7 +14,7 @@
   record Serve(Candidate candidate, String rule) implements RouteDecision {}
 
   /**
-   * Forward the request to another region's gateway; the request is marked as forwarded there.
+   * Forward the request to a gateway of another region, marked as forwarded.
    *
    * @param region the region to forward to
    */
@@ -23,8 +23,8 @@
   /**
    * Refuse the request; no endpoint received it.
    *
-   * @param kind the error kind, always one that proves the request was not run
-   * @param detail why, naming the organisation, model and regions involved
+   * @param kind the error kind, which always guarantees that the request was not run
+   * @param detail the reason, naming the organisation, model and regions involved
    */
   record Refuse(ErrorKind kind, String detail) implements RouteDecision {}
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/RouteRequest.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/RouteRequest.java
@@ -3,17 +3,18 @@
 import java.util.Set;
 
 /**
- * What the router needs to know of one caller request.
+ * The properties of a caller request that determine its routing.
  *
  * @param organisation the caller's organisation (tenant)
  * @param model the requested model, or the service name for plain services
  * @param priority the request priority, such as {@code normal}
- * @param residency the regions where it may be served; empty means any region
- * @param forwarded true if another region's gateway already forwarded it here
- * @param excludedEndpoints endpoints (by id) and regions that have failed this request or are
- *     failing now
- * @param promptChars the prompt's length in characters, which reading it without a cache costs
- * @param affinityKey a key for prefix-cache affinity, such as a hash of the prompt's prefix
+ * @param residency the regions that may serve it; empty for any region
+ * @param forwarded whether a gateway of another region forwarded it to this one
+ * @param excludedEndpoints the endpoint ids and region names that failed for this request or are in
+ *     backoff
+ * @param promptChars the prompt's length in characters, which determines the cost of a cache miss
+ * @param affinityKey a key for prefix-cache affinity, such as a hash of the prompt's prefix; empty
+ *     for none
  */
 public record RouteRequest(
     String organisation,
@@ -25,13 +26,13 @@
     int promptChars,
     String affinityKey) {
 
-  /** Copies the residency so the record is immutable. */
+  /** Copies the sets so that the record is immutable. */
   public RouteRequest {
     residency = Set.copyOf(residency);
     excludedEndpoints = Set.copyOf(excludedEndpoints);
   }
 
-  /** Returns whether the residency allows serving in this region. */
+  /** Returns whether the request may be served in the region. */
   public boolean allowsRegion(String region) {
     return residency.isEmpty() || residency.contains(region);
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/Router.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/Router.java
@@ -17,18 +17,20 @@
 import org.lacewingcroft.selector.LabelSelector;
 
 /**
- * The routing decision, as pure code over immutable snapshots.
+ * Decides where to serve a request, as a pure function of immutable snapshots.
  *
- * <p>Order of checks: the organisation's residency narrows the request's; the first selector
- * covering the work names the endpoints and regions allowed; if no allowed local endpoint has room,
- * a request not yet forwarded goes to the allowed region with the most free capacity; otherwise the
- * {@link RoutingPolicy} chooses a local endpoint. A forwarded request is never forwarded again, so
- * a request makes at most one cross-region hop and cannot loop.
+ * <p>The residency of the request is first restricted to that of its organisation. The first
+ * selector that covers the request determines the allowed endpoints and regions. If no allowed
+ * local endpoint has free capacity, a request that has not been forwarded yet is forwarded to the
+ * allowed region with the most free capacity. Otherwise the {@link RoutingPolicy} chooses a local
+ * endpoint. A forwarded request is never forwarded again, so a request makes at most one
+ * cross-region hop and cannot loop.
  */
 public final class Router {
   /**
-   * Estimated utilisation at which an endpoint has no room left: every slot is taken and a quarter
-   * as many requests wait. When no local endpoint has room, another region that has is asked.
+   * The estimated utilisation from which an endpoint has no free capacity: every slot is in use and
+   * a quarter as many requests are queued. If no local endpoint has free capacity, the request is
+   * forwarded to another region that has some.
    */
   public static final double SPILL_UTILISATION = 1.25;
 
@@ -38,10 +40,10 @@
   private final RoutingPolicy policy;
 
   /**
-   * Creates a router for a daemon in the given region.
+   * Creates a router for the given region.
    *
-   * @param localRegion the region this daemon runs in
-   * @param policy the policy choosing among local candidates
+   * @param localRegion the region of this gateway
+   * @param policy the policy that chooses among local candidates
    */
   public Router(String localRegion, RoutingPolicy policy) {
     this.localRegion = localRegion;
@@ -52,11 +54,11 @@
    * Routes one request.
    *
    * @param request the request
-   * @param config the configuration in force
-   * @param directory the endpoints this daemon knows
-   * @param view what this gateway knows by itself
-   * @param now the current time, for leases
-   * @return the decision; never null
+   * @param config the active configuration
+   * @param directory the endpoints that are currently announced
+   * @param view the state of this gateway and of the other regions
+   * @param now the current time, which decides whether leases have expired
+   * @return the decision, never null
    */
   public RouteDecision route(
       RouteRequest request,
@@ -124,7 +126,7 @@
     return local.stream().anyMatch(c -> c.utilisation() < SPILL_UTILISATION);
   }
 
-  /** Returns the allowed region with the most free capacity, if any has some. */
+  /** Returns the allowed region with the most free capacity; empty if none has any. */
   private Optional<RegionSummary> bestRegion(
       RouteRequest request, Set<String> residency, Optional<RoutingRule> rule, GatewayView view) {
     return view.otherRegions().stream()
@@ -142,7 +144,10 @@
         && rule.map(r -> r.allowsRegion(region)).orElse(true);
   }
 
-  /** Returns the intersection of request and organisation residency, or null if it is empty. */
+  /**
+   * Returns the intersection of the residencies of request and organisation, an empty set for any
+   * region, or null if both are restricted and share no region.
+   */
   private static Set<String> effectiveResidency(RouteRequest request, GatewayConfig config) {
     Set<String> fromOrganisation =
         config
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/RoutingPolicies.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/RoutingPolicies.java
@@ -9,19 +9,19 @@
 public final class RoutingPolicies {
   private RoutingPolicies() {}
 
-  /** Returns every registered policy. */
+  /** Returns all registered policies. */
   public static List<RoutingPolicy> all() {
     return ServiceLoader.load(RoutingPolicy.class).stream()
         .map(ServiceLoader.Provider::get)
         .collect(Collectors.toList());
   }
 
-  /** Returns the policy with this name, if registered. */
+  /** Returns the policy with this name; empty if none is registered under it. */
   public static Optional<RoutingPolicy> named(String name) {
     return all().stream().filter(p -> p.name().equals(name)).findFirst();
   }
 
-  /** Returns the registered names, for error messages. */
+  /** Returns the names of all registered policies, for error messages. */
   public static List<String> names() {
     return all().stream().map(RoutingPolicy::name).collect(Collectors.toList());
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/RoutingPolicy.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/RoutingPolicy.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 /**
- * Picks one endpoint among the eligible candidates for a request.
+ * Chooses one of the eligible endpoints for a request.
  *
  * <p>Implementations are pure functions of their arguments and register themselves through {@link
  * java.util.ServiceLoader} under {@code META-INF/services}; {@link RoutingPolicies} finds them by
@@ -16,11 +16,11 @@
   String name();
 
   /**
-   * Chooses a candidate.
+   * Returns the endpoint that serves the request.
    *
-   * @param candidates the eligible endpoints, never empty, all inside the residency
+   * @param candidates the eligible endpoints, never empty, all within the residency
    * @param request the request being routed
-   * @return the chosen candidate, or empty to refuse (for example when all are saturated)
+   * @return the chosen candidate, or empty to refuse the request, for example if all are saturated
    */
   Optional<Candidate> choose(List<Candidate> candidates, RouteRequest request);
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/selector/LabelSelector.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/selector/LabelSelector.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * A Kubernetes-style label selector: every {@code matchLabels} pair and every requirement must
- * hold. An empty selector matches every label set.
+ * A Kubernetes-style label selector, which matches if every {@code matchLabels} pair and every
+ * requirement holds. An empty selector matches every label set.
  *
  * @param matchLabels labels that must be present with exactly these values
  * @param matchExpressions set-based requirements that must all hold
@@ -15,7 +15,7 @@
   /** A selector that matches everything. */
   public static final LabelSelector EVERYTHING = new LabelSelector(Map.of(), List.of());
 
-  /** Copies the parts so the selector is immutable. */
+  /** Copies the collections so that the record is immutable. */
   public LabelSelector {
     matchLabels = Map.copyOf(matchLabels);
     matchExpressions = List.copyOf(matchExpressions);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/selector/Operator.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/selector/Operator.java
@@ -3,13 +3,15 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** The set-based operators of a label selector requirement, as Kubernetes spells them. */
+/**
+ * The set-based operators of a label selector requirement, with the spelling that Kubernetes uses.
+ */
 public enum Operator {
   /** The label is present and its value is one of the listed values. */
   IN("In"),
   /** The label is absent, or its value is none of the listed values. */
   NOT_IN("NotIn"),
-  /** The label is present, whatever its value. */
+  /** The label is present with any value. */
   EXISTS("Exists"),
   /** The label is absent. */
   DOES_NOT_EXIST("DoesNotExist");
@@ -30,7 +32,7 @@
     return this == IN || this == NOT_IN;
   }
 
-  /** Parses the document spelling, returning empty for an unknown operator. */
+  /** Returns the operator with this document spelling; empty for an unknown operator. */
   public static Optional<Operator> parse(String spelling) {
     return Arrays.stream(values()).filter(o -> o.spelling.equals(spelling)).findFirst();
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/selector/Requirement.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/selector/Requirement.java
@@ -6,7 +6,7 @@
 import org.lacewingcroft.error.GatewayException;
 
 /**
- * One {@code matchExpressions} entry of a {@link LabelSelector}: a key, an operator and values.
+ * A {@code matchExpressions} entry of a {@link LabelSelector}: a key, an operator and values.
  *
  * @param key the label key
  * @param operator how the label's value is compared
@@ -15,10 +15,11 @@
 public record Requirement(String key, Operator operator, Set<String> values) {
 
   /**
-   * Creates a requirement and checks that the values fit the operator.
+   * Creates a requirement and validates its key and values.
    *
-   * @throws GatewayException of kind {@link ErrorKind#INVALID_CONFIGURATION} if the values do not
-   *     fit the operator
+   * @throws GatewayException of kind {@link ErrorKind#INVALID_CONFIGURATION} if the key is missing
+   *     or empty, or if the operator takes values and there are none, or takes no values and there
+   *     are some
    */
   public Requirement {
     values = Set.copyOf(values);
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/endpoint/EndpointHealthTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/endpoint/EndpointHealthTest.java
@@ -33,7 +33,10 @@
     assertThat(health.isInBackoff(T0), is(Set.of()));
   }
 
-  /** A success of another request says nothing of the pause that the endpoint asked for. */
+  /**
+   * Verifies that neither a success nor a later, shorter pause ends the pause that the endpoint
+   * requested.
+   */
   @Test
   void pauseLastsAsLongAsTheEndpointAskedFor() {
     EndpointHealth health = new EndpointHealth(Duration.ofSeconds(1));
@@ -44,7 +47,7 @@
     assertThat(health.paused(T0.plusMillis(3_000)), is(Map.of()));
   }
 
-  /** A late announcement must not undo a newer one that says the endpoint is leaving. */
+  /** Verifies that a delayed announcement does not override a newer one that announced draining. */
   @Test
   void lateAnnouncementDoesNotUndoDraining() {
     EndpointDirectory directory =
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/idempotency/IdempotencyTableTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/idempotency/IdempotencyTableTest.java
@@ -21,7 +21,10 @@
   private static final Claimant RESTARTED = new Claimant("entry-1", 2);
   private static final Claimant OTHER = new Claimant("entry-2", 1);
 
-  /** Steps on one replica and what each claim found: free, or the state of the record there. */
+  /**
+   * Test cases: operations on one replica and the result of each claim, which is {@code free} or
+   * the state of the existing record.
+   */
   static Stream<Arguments> histories() {
     return Stream.of(
         history(List.of("claim", "claim"), List.of("free", "RUNNING")),
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/route/QueuePrioritiesTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/route/QueuePrioritiesTest.java
@@ -12,12 +12,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** A route's urgency in a service's queues, from its rank and objective and from its rivals'. */
+/**
+ * Tests the queue priorities that result from the priorities and latency objectives of all routes
+ * of a service.
+ */
 class QueuePrioritiesTest {
-  /** One route of a table: its rank, its objective and its service. */
+  /** A route of a table, with its configured priority, latency objective and service. */
   record Ranked(int rank, long objectiveMillis, String service) {}
 
-  /** A row: the routes of a table and the urgency that each must get. */
+  /** A test case: the routes of a table and the expected queue priority of each. */
   record Row(String name, List<Ranked> routes, List<Integer> priorities) {
     @Override
     public String toString() {
@@ -28,11 +31,11 @@
   static Stream<Row> rows() {
     return Stream.of(
         new Row(
-            "a shorter objective ranks behind a longer one",
+            "shorter objective with lower priority than longer one",
             List.of(new Ranked(0, 1_200, "a"), new Ranked(1, 800, "a")),
             List.of(0, 0)),
         new Row(
-            "ranks and objectives agree",
+            "priorities and objectives in the same order",
             List.of(new Ranked(0, 300, "a"), new Ranked(1, 800, "a")),
             List.of(0, 1)),
         new Row(
@@ -40,11 +43,11 @@
             List.of(new Ranked(2, 800, "a"), new Ranked(1, 800, "a")),
             List.of(1, 1)),
         new Row(
-            "another service's route is no rival",
+            "route of another service is ignored",
             List.of(new Ranked(0, 1_200, "a"), new Ranked(1, 800, "b")),
             List.of(0, 1)),
         new Row(
-            "the best of several",
+            "most urgent of several",
             List.of(new Ranked(1, 1_200, "a"), new Ranked(0, 2_000, "a"), new Ranked(3, 900, "a")),
             List.of(0, 0, 0)),
         new Row("alone", List.of(new Ranked(4, 900, "a")), List.of(4)));
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/route/RouteTableTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/route/RouteTableTest.java
@@ -90,7 +90,7 @@
         false);
   }
 
-  /** A row: routes that must not be put in force, and what the error says. */
+  /** A test case: an invalid list of routes and a part of the expected error message. */
   record Bad(List<Route> routes, String says) {}
 
   static Stream<Bad> bad() {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/routing/CacheAwarePolicyTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/routing/CacheAwarePolicyTest.java
@@ -19,8 +19,9 @@
       Rendezvous.rank(List.of("e1", "e2", "e3"), id -> id, PREFIX);
 
   /**
-   * The prompt's length, load (of ten slots) and cache belief of the first, second and third engine
-   * in rendezvous order, and which of them is chosen.
+   * Columns: the prompt length; the load (of ten slots) and whether the prefix is assumed to be
+   * cached, for the first, second and third engine in rendezvous order; the index of the engine
+   * that must be chosen.
    */
   @ParameterizedTest
   @CsvSource({
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/routing/RouterTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/routing/RouterTest.java
@@ -77,28 +77,28 @@
             NOW,
             "serve:u1"),
         Arguments.of(
-            "draining endpoint gets no work, forward",
+            "draining endpoint gets no requests, forwarded",
             request("any", "writer", Set.of(), false),
             drainingOnly,
             northHasRoom,
             NOW,
             "forward:pohjois-pohjanmaa"),
         Arguments.of(
-            "expired lease gets no work",
+            "endpoint with expired lease gets no requests",
             request("any", "writer", Set.of(), false),
             expired,
             List.of(),
             NOW.plusSeconds(4),
             "refuse:NOT_RUN"),
         Arguments.of(
-            "residency keeps it home",
+            "residency forbids forwarding",
             request("any", "writer", Set.of("uusimaa"), false),
             drainingOnly,
             northHasRoom,
             NOW,
             "refuse:NOT_RUN"),
         Arguments.of(
-            "organisation residency keeps it home",
+            "organisation residency forbids forwarding",
             request("home", "writer", Set.of(), false),
             drainingOnly,
             northHasRoom,
@@ -119,7 +119,7 @@
             NOW,
             "refuse:NOT_RUN"),
         Arguments.of(
-            "selector regions forbid local",
+            "selector regions exclude the local region",
             request("any", "desk", Set.of(), false),
             EndpointDirectory.EMPTY.with(endpoint("d1", "uusimaa", "desk", false)),
             northHasRoom,
@@ -133,14 +133,14 @@
             NOW,
             "refuse:UNKNOWN_MODEL"),
         Arguments.of(
-            "a selector names it, no endpoint is known",
+            "model named by a selector but served by no endpoint",
             request("any", "writer", Set.of(), false),
             EndpointDirectory.EMPTY,
             List.of(),
             NOW,
             "refuse:NOT_RUN"),
         Arguments.of(
-            "no selector covers it",
+            "no selector covers the model",
             request("any", "other", Set.of(), false),
             EndpointDirectory.EMPTY.with(endpoint("o1", "uusimaa", "other", false)),
             List.of(),
@@ -162,7 +162,11 @@
     assertThat(name, describe(decision), is(expected));
   }
 
-  /** With two slots taken of four a home has room, with five it spills where residency allows. */
+  /**
+   * Verifies that a request is forwarded to another region only if the local endpoint has no free
+   * capacity and the residency allows it. The endpoint has four slots: with four requests in flight
+   * it has free capacity, with five (a utilisation of 1.25) it has none.
+   */
   @ParameterizedTest
   @CsvSource({
     "any, 4, serve:w1",
