--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/Endpoint.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/Endpoint.java
@@ -62,7 +62,7 @@
   }
 
   /** Returns a copy of this announcement whose lease expires at the given time. */
-  public Endpoint leasedUntil(Instant end) {
+  public Endpoint leasedUntil(Instant expiresAt) {
     return new Endpoint(
         id,
         baseUrl,
@@ -77,6 +77,6 @@
         reportedLoad,
         cachedPrefixes,
         sequence,
-        end);
+        expiresAt);
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/EndpointDirectory.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/EndpointDirectory.java
@@ -49,8 +49,8 @@
    * announcement that is older than the recorded one has no effect.
    */
   public EndpointDirectory with(Endpoint endpoint) {
-    Endpoint held = byId.get(endpoint.id());
-    if (held != null && !endpoint.supersedes(held)) {
+    Endpoint existing = byId.get(endpoint.id());
+    if (existing != null && !endpoint.supersedes(existing)) {
       return this;
     }
     Map<String, Endpoint> next = new HashMap<>(byId);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/EndpointHealth.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/EndpointHealth.java
@@ -22,36 +22,36 @@
   /** The number of doublings after which the backoff no longer grows. */
   private static final int MAX_DOUBLINGS = 5;
 
-  private record Failing(int failures, Instant until) {}
+  private record BackoffState(int failures, Instant until) {}
 
-  private final Map<String, Failing> failing = new ConcurrentHashMap<>();
+  private final Map<String, BackoffState> backoffs = new ConcurrentHashMap<>();
   private final Map<String, Instant> pausedUntil = new ConcurrentHashMap<>();
-  private final Duration firstPause;
+  private final Duration initialBackoff;
 
   /**
    * Creates a record without any failures or pauses.
    *
-   * @param firstPause the duration of the backoff after the first failure of an endpoint
+   * @param initialBackoff the duration of the backoff after the first failure of an endpoint
    */
-  public EndpointHealth(Duration firstPause) {
-    this.firstPause = firstPause;
+  public EndpointHealth(Duration initialBackoff) {
+    this.initialBackoff = initialBackoff;
   }
 
   /** Records that a request failed at the endpoint or on the connection to it. */
   public void recordFailure(String endpointId, Instant now) {
-    failing.compute(
+    backoffs.compute(
         endpointId,
-        (id, seen) -> {
-          int failures = seen == null ? 1 : seen.failures() + 1;
+        (id, previous) -> {
+          int failures = previous == null ? 1 : previous.failures() + 1;
           long factor = 1L << Math.min(failures - 1, MAX_DOUBLINGS);
-          return new Failing(failures, now.plus(firstPause.multipliedBy(factor)));
+          return new BackoffState(failures, now.plus(initialBackoff.multipliedBy(factor)));
         });
   }
 
   /** Records that the endpoint requested a pause; of several pauses the latest end applies. */
   public void recordPause(String endpointId, Duration pause, Instant now) {
     Instant until = now.plus(pause);
-    pausedUntil.merge(endpointId, until, (one, other) -> one.isAfter(other) ? one : other);
+    pausedUntil.merge(endpointId, until, (first, second) -> first.isAfter(second) ? first : second);
   }
 
   /**
@@ -59,25 +59,25 @@
    */
   public Map<String, Duration> paused(Instant now) {
     pausedUntil.values().removeIf(until -> !until.isAfter(now));
-    Map<String, Duration> left = new HashMap<>();
-    pausedUntil.forEach((id, until) -> left.put(id, Duration.between(now, until)));
-    return left;
+    Map<String, Duration> remaining = new HashMap<>();
+    pausedUntil.forEach((id, until) -> remaining.put(id, Duration.between(now, until)));
+    return remaining;
   }
 
   /** Records that the endpoint responded, which ends its backoff but not a pause. */
   public void recordSuccess(String endpointId) {
-    failing.remove(endpointId);
+    backoffs.remove(endpointId);
   }
 
   /** Returns the ids of the endpoints that are in backoff at the given time. */
   public Set<String> isInBackoff(Instant now) {
-    if (failing.isEmpty()) {
+    if (backoffs.isEmpty()) {
       return Set.of();
     }
     Set<String> ids = new HashSet<>();
-    failing.forEach(
-        (id, f) -> {
-          if (now.isBefore(f.until())) {
+    backoffs.forEach(
+        (id, backoff) -> {
+          if (now.isBefore(backoff.until())) {
             ids.add(id);
           }
         });
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/idempotency/IdempotencyTable.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/idempotency/IdempotencyTable.java
@@ -52,8 +52,8 @@
     }
 
     /** Returns a copy of this record that expires at the given time. */
-    public Entry withExpiry(Instant when) {
-      return new Entry(key, state, claimant, status, contentType, body, when);
+    public Entry withExpiry(Instant newExpiry) {
+      return new Entry(key, state, claimant, status, contentType, body, newExpiry);
     }
 
     private boolean supersedes(Entry other) {
@@ -80,11 +80,12 @@
    * @return empty if the claim succeeded, else the existing record of the key
    */
   public Optional<Entry> claim(String key, Claimant claimant, Instant now) {
-    Entry fresh = running(key, claimant, now);
-    Entry seen = entries.putIfAbsent(key, fresh);
+    Entry newEntry = running(key, claimant, now);
+    Entry existing = entries.putIfAbsent(key, newEntry);
     boolean claimed =
-        seen == null || seen.expiresAt().isBefore(now) && entries.replace(key, seen, fresh);
-    return claimed ? Optional.empty() : Optional.of(seen);
+        existing == null
+            || existing.expiresAt().isBefore(now) && entries.replace(key, existing, newEntry);
+    return claimed ? Optional.empty() : Optional.of(existing);
   }
 
   /**
@@ -95,7 +96,8 @@
    */
   public Optional<Entry> grant(String key, Claimant claimant, Instant now) {
     return claim(key, claimant, now)
-        .filter(held -> held.state() != State.RUNNING || !held.claimant().equals(claimant));
+        .filter(
+            existing -> existing.state() != State.RUNNING || !existing.claimant().equals(claimant));
   }
 
   private Entry running(String key, Claimant claimant, Instant now) {
@@ -118,7 +120,8 @@
   public Entry markUnknown(String key, Claimant claimant, Instant now) {
     Entry unknown =
         new Entry(key, State.UNKNOWN, claimant, 0, "", new byte[0], now.plus(retention));
-    return entries.merge(key, unknown, (held, theirs) -> theirs.supersedes(held) ? theirs : held);
+    return entries.merge(
+        key, unknown, (existing, incoming) -> incoming.supersedes(existing) ? incoming : existing);
   }
 
   /** Removes a claim whose request was refused before any endpoint received it. */
@@ -132,7 +135,7 @@
     entries.merge(
         replicated.key(),
         replicated.withExpiry(now.plus(retention)),
-        (mine, theirs) -> theirs.supersedes(mine) ? theirs : mine);
+        (existing, incoming) -> incoming.supersedes(existing) ? incoming : existing);
   }
 
   /** Returns the record of a key; empty if there is none. */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/misc/BoundedMap.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/misc/BoundedMap.java
@@ -14,25 +14,25 @@
   private static final int INITIAL_CAPACITY = 16;
   private static final float LOAD_FACTOR = 0.75f;
 
-  private final int mostEntries;
+  private final int maxEntries;
 
-  private BoundedMap(int mostEntries, boolean accessOrder) {
+  private BoundedMap(int maxEntries, boolean accessOrder) {
     super(INITIAL_CAPACITY, LOAD_FACTOR, accessOrder);
-    this.mostEntries = mostEntries;
+    this.maxEntries = maxEntries;
   }
 
   /** Returns a map that evicts the entry that was inserted first. */
-  public static <K, V> BoundedMap<K, V> evictingOldest(int mostEntries) {
-    return new BoundedMap<>(mostEntries, /* accessOrder= */ false);
+  public static <K, V> BoundedMap<K, V> evictingOldest(int maxEntries) {
+    return new BoundedMap<>(maxEntries, /* accessOrder= */ false);
   }
 
   /** Returns a map that evicts the least recently used entry; reads and writes count as use. */
-  public static <K, V> BoundedMap<K, V> evictingLeastRecentlyUsed(int mostEntries) {
-    return new BoundedMap<>(mostEntries, /* accessOrder= */ true);
+  public static <K, V> BoundedMap<K, V> evictingLeastRecentlyUsed(int maxEntries) {
+    return new BoundedMap<>(maxEntries, /* accessOrder= */ true);
   }
 
   @Override
   protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-    return size() > mostEntries;
+    return size() > maxEntries;
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/misc/HybridLogicalClock.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/misc/HybridLogicalClock.java
@@ -23,9 +23,9 @@
 
   /** Advances the clock and returns the stamp of a local or send event. */
   public synchronized String tick() {
-    long wall = source.millis();
-    if (wall > physicalMillis) {
-      physicalMillis = wall;
+    long wallMillis = source.millis();
+    if (wallMillis > physicalMillis) {
+      physicalMillis = wallMillis;
       counter = 0;
     } else {
       counter++;
@@ -36,35 +36,36 @@
   /**
    * Merges a stamp received from another process and returns the stamp of the receive event.
    *
-   * @param remote a stamp that {@link #tick()} returned in another process; ignored if malformed
+   * @param remoteStamp a stamp that {@link #tick()} returned in another process; ignored if
+   *     malformed
    */
-  public synchronized String receive(String remote) {
-    long wall = source.millis();
+  public synchronized String receive(String remoteStamp) {
+    long wallMillis = source.millis();
     long remoteMillis;
     long remoteCounter;
     try {
-      int dot = remote.indexOf('.');
-      remoteMillis = Long.parseLong(remote.substring(0, dot));
-      remoteCounter = Long.parseLong(remote.substring(dot + 1));
+      int dot = remoteStamp.indexOf('.');
+      remoteMillis = Long.parseLong(remoteStamp.substring(0, dot));
+      remoteCounter = Long.parseLong(remoteStamp.substring(dot + 1));
     } catch (RuntimeException e) {
       return tick();
     }
-    long next = Math.max(wall, Math.max(physicalMillis, remoteMillis));
-    if (next == physicalMillis && next == remoteMillis) {
+    long nextMillis = Math.max(wallMillis, Math.max(physicalMillis, remoteMillis));
+    if (nextMillis == physicalMillis && nextMillis == remoteMillis) {
       counter = Math.max(counter, remoteCounter) + 1;
-    } else if (next == physicalMillis) {
+    } else if (nextMillis == physicalMillis) {
       counter++;
-    } else if (next == remoteMillis) {
+    } else if (nextMillis == remoteMillis) {
       counter = remoteCounter + 1;
     } else {
       counter = 0;
     }
-    physicalMillis = next;
+    physicalMillis = nextMillis;
     return format(physicalMillis, counter);
   }
 
   private static String format(long millis, long counter) {
-    String c = Long.toString(counter);
-    return millis + "." + "0".repeat(Math.max(0, COUNTER_DIGITS - c.length())) + c;
+    String digits = Long.toString(counter);
+    return millis + "." + "0".repeat(Math.max(0, COUNTER_DIGITS - digits.length())) + digits;
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/misc/Rendezvous.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/misc/Rendezvous.java
@@ -57,7 +57,7 @@
     for (T member : members) {
       String memberId = id.apply(member);
       Weighted<T> candidate = new Weighted<>(member, memberId, weight(memberId, seed));
-      if (best.isEmpty() || candidate.before(best.get())) {
+      if (best.isEmpty() || candidate.ranksBefore(best.get())) {
         best = Optional.of(candidate);
       }
     }
@@ -65,7 +65,7 @@
   }
 
   private record Weighted<T>(T member, String id, long weight) {
-    private boolean before(Weighted<T> other) {
+    private boolean ranksBefore(Weighted<T> other) {
       return weight != other.weight ? weight > other.weight : id.compareTo(other.id) < 0;
     }
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/FrameCodec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/FrameCodec.java
@@ -28,7 +28,7 @@
   private static final int TAG_BYTES = 32;
   private static final String ALGORITHM = "HmacSHA256";
   private static final String PROVIDER = "SunJCE";
-  private final ThreadLocal<Mac> macs;
+  private final ThreadLocal<Mac> macPerThread;
 
   /**
    * A decoded frame.
@@ -49,7 +49,7 @@
       throw new IllegalArgumentException("the shared secret must have at least 16 bytes");
     }
     SecretKeySpec key = new SecretKeySpec(secret.clone(), ALGORITHM);
-    this.macs = ThreadLocal.withInitial(() -> newMac(key));
+    this.macPerThread = ThreadLocal.withInitial(() -> createMac(key));
   }
 
   /**
@@ -118,9 +118,9 @@
    * provider by name, because a search through all providers loads and verifies four others before
    * the first frame of a new process.
    */
-  private static Mac newMac(SecretKeySpec key) {
+  private static Mac createMac(SecretKeySpec key) {
     try {
-      Mac mac = usualMac();
+      Mac mac = createDefaultMac();
       mac.init(key);
       return mac;
     } catch (GeneralSecurityException e) {
@@ -128,7 +128,7 @@
     }
   }
 
-  private static Mac usualMac() throws GeneralSecurityException {
+  private static Mac createDefaultMac() throws GeneralSecurityException {
     try {
       return Mac.getInstance(ALGORITHM, PROVIDER);
     } catch (NoSuchProviderException e) {
@@ -137,6 +137,6 @@
   }
 
   private byte[] tag(byte[] payload) {
-    return macs.get().doFinal(payload);
+    return macPerThread.get().doFinal(payload);
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/MessageCodec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/MessageCodec.java
@@ -149,9 +149,11 @@
     packMember(p, g.sender());
     p.packLong(g.configVersion());
     p.packArrayHeader(g.signs().size());
-    for (Liveness s : g.signs()) {
-      p.packString(s.nodeId()).packLong(s.incarnation()).packLong(s.counter());
-      p.packBoolean(s.leaving());
+    for (Liveness heartbeat : g.signs()) {
+      p.packString(heartbeat.nodeId())
+          .packLong(heartbeat.incarnation())
+          .packLong(heartbeat.counter());
+      p.packBoolean(heartbeat.leaving());
     }
     packMembers(p, g.introductions());
     p.packArrayHeader(g.digests().size());
@@ -166,11 +168,12 @@
   private static PeerMessage.Gossip unpackGossip(MessageUnpacker u) throws IOException {
     final MemberInfo sender = unpackMember(u);
     final long configVersion = u.unpackLong();
-    List<Liveness> signs = new ArrayList<>();
+    List<Liveness> heartbeats = new ArrayList<>();
     for (int n = u.unpackArrayHeader(); n > 0; n--) {
-      signs.add(new Liveness(u.unpackString(), u.unpackLong(), u.unpackLong(), u.unpackBoolean()));
+      heartbeats.add(
+          new Liveness(u.unpackString(), u.unpackLong(), u.unpackLong(), u.unpackBoolean()));
     }
-    List<MemberInfo> introductions = unpackMembers(u);
+    List<MemberInfo> memberInfos = unpackMembers(u);
     List<RegionDigest> digests = new ArrayList<>();
     for (int n = u.unpackArrayHeader(); n > 0; n--) {
       digests.add(
@@ -182,7 +185,7 @@
               unpackCounts(u)));
     }
     return new PeerMessage.Gossip(
-        sender, configVersion, signs, introductions, digests, u.unpackBoolean());
+        sender, configVersion, heartbeats, memberInfos, digests, u.unpackBoolean());
   }
 
   private static void packMembers(MessageBufferPacker p, List<MemberInfo> members)
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/HostHeader.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/HostHeader.java
@@ -9,7 +9,7 @@
   /** Returns the host of a Host header value, in lower case and without the port. */
   public static String nameOf(String header) {
     int colon = header.indexOf(':');
-    String name = colon < 0 ? header : header.substring(0, colon);
-    return name.toLowerCase(Locale.ROOT);
+    String host = colon < 0 ? header : header.substring(0, colon);
+    return host.toLowerCase(Locale.ROOT);
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/QueuePriorities.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/QueuePriorities.java
@@ -25,19 +25,20 @@
   private final Map<Key, Integer> priorities = new HashMap<>();
 
   QueuePriorities(Collection<Route> routes) {
-    Map<String, List<Route>> byService = new HashMap<>();
+    Map<String, List<Route>> routesByService = new HashMap<>();
     for (Route route : routes) {
       for (ServiceShare share : route.shares()) {
-        byService.computeIfAbsent(share.service(), s -> new ArrayList<>()).add(route);
+        routesByService.computeIfAbsent(share.service(), s -> new ArrayList<>()).add(route);
       }
     }
-    byService.forEach(
-        (service, sharing) ->
-            sharing.forEach(r -> priorities.put(new Key(r.name(), service), priority(r, sharing))));
+    routesByService.forEach(
+        (service, serviceRoutes) ->
+            serviceRoutes.forEach(
+                r -> priorities.put(new Key(r.name(), service), priority(r, serviceRoutes))));
   }
 
-  private static int priority(Route route, List<Route> sharing) {
-    return sharing.stream()
+  private static int priority(Route route, List<Route> serviceRoutes) {
+    return serviceRoutes.stream()
         .filter(r -> r.latencyObjective().compareTo(route.latencyObjective()) >= 0)
         .mapToInt(Route::priority)
         .reduce(route.priority(), Math::min);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/Quota.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/Quota.java
@@ -19,12 +19,12 @@
   /**
    * Returns the number of units charged for a request.
    *
-   * @param statedTokens the prompt and output tokens that the request declares, 0 if none
+   * @param declaredTokens the prompt and output tokens that the request declares, 0 if none
    */
-  public long costOf(long statedTokens) {
+  public long costOf(long declaredTokens) {
     if (unit == Unit.REQUESTS) {
       return 1;
     }
-    return statedTokens > 0 ? statedTokens : defaultTokens;
+    return declaredTokens > 0 ? declaredTokens : defaultTokens;
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/Route.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/Route.java
@@ -60,10 +60,10 @@
    */
   public String pick(double point) {
     int total = shares.stream().mapToInt(ServiceShare::weight).sum();
-    double left = point * total;
+    double remaining = point * total;
     for (ServiceShare share : shares) {
-      left -= share.weight();
-      if (left < 0) {
+      remaining -= share.weight();
+      if (remaining < 0) {
         return share.service();
       }
     }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/RouteTable.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/RouteTable.java
@@ -25,7 +25,7 @@
   private final RequestLimits limits;
   private final QueuePriorities queuePriorities;
   private final Map<String, Organisation> organisationsByKey = new HashMap<>();
-  private final boolean keysNeeded;
+  private final boolean requiresApiKeys;
 
   /** Validates and indexes a document without organisations; callers need no API keys. */
   public RouteTable(
@@ -47,15 +47,15 @@
       RequestLimits limits,
       List<Organisation> organisations) {
     this.version = version;
-    this.keysNeeded = !organisations.isEmpty();
-    organisations.forEach(this::index);
+    this.requiresApiKeys = !organisations.isEmpty();
+    organisations.forEach(this::indexKeys);
     this.limits = limits;
     this.services = new HashMap<>();
     services.forEach(s -> this.services.put(s.name(), s));
-    Set<String> places = new HashSet<>();
+    Set<String> hostsAndPrefixes = new HashSet<>();
     for (Route route : routes) {
-      check(route);
-      if (!places.add(route.host() + route.pathPrefix())) {
+      validate(route);
+      if (!hostsAndPrefixes.add(route.host() + route.pathPrefix())) {
         throw new InvalidRouteTableException(
             "two routes share " + route.host() + route.pathPrefix() + "; remove one");
       }
@@ -67,7 +67,7 @@
             .collect(Collectors.groupingBy(Route::host));
   }
 
-  private void index(Organisation organisation) {
+  private void indexKeys(Organisation organisation) {
     for (String key : organisation.keys()) {
       Organisation other = organisationsByKey.put(key, organisation);
       if (other != null) {
@@ -81,7 +81,7 @@
     }
   }
 
-  private void check(Route route) {
+  private void validate(Route route) {
     String subject = "route '" + route.name() + "' ";
     for (ServiceShare share : route.shares()) {
       if (!services.containsKey(share.service())) {
@@ -118,7 +118,7 @@
    * Returns whether callers need an API key, except on routes that are exempt from authentication.
    */
   public boolean requiresApiKeys() {
-    return keysNeeded;
+    return requiresApiKeys;
   }
 
   /** Returns the organisations that have at least one API key. */
@@ -155,16 +155,16 @@
     Set<String> common = new HashSet<>();
     routesOf(hostHeader).stream()
         .map(Route::homeRegions)
-        .filter(homes -> !homes.isEmpty())
-        .reduce(RouteTable::inBoth)
+        .filter(regions -> !regions.isEmpty())
+        .reduce(RouteTable::intersection)
         .ifPresent(common::addAll);
     return common;
   }
 
-  private static Set<String> inBoth(Set<String> some, Set<String> others) {
-    Set<String> both = new HashSet<>(some);
-    both.retainAll(others);
-    return both;
+  private static Set<String> intersection(Set<String> first, Set<String> second) {
+    Set<String> common = new HashSet<>(first);
+    common.retainAll(second);
+    return common;
   }
 
   /**
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/CacheAwarePolicy.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/CacheAwarePolicy.java
@@ -30,7 +30,7 @@
   public static final double RANK_PENALTY = 0.1;
 
   /** The utilisation from which further load adds {@link #QUEUE_PENALTY} per unit. */
-  private static final double CROWDED_UTILISATION = 0.75;
+  private static final double QUEUEING_UTILISATION = 0.75;
 
   private static final double QUEUE_PENALTY = 4;
 
@@ -46,10 +46,10 @@
     if (request.affinityKey().isEmpty()) {
       return new LeastInFlightPolicy().choose(candidates, request);
     }
-    Candidate first =
+    Candidate preferred =
         Rendezvous.owner(candidates, c -> c.endpoint().id(), request.affinityKey()).orElseThrow();
     return candidates.stream()
-        .map(c -> new Scored(c, score(c, c == first, request.promptChars())))
+        .map(c -> new Scored(c, score(c, c == preferred, request.promptChars())))
         .min(
             Comparator.comparingDouble(Scored::score)
                 .thenComparing(s -> s.candidate().endpoint().id()))
@@ -57,9 +57,9 @@
   }
 
   private static double score(Candidate c, boolean firstInRank, int promptChars) {
-    double crowded = Math.max(0, c.utilisation() - CROWDED_UTILISATION);
-    double load = Math.pow(c.utilisation(), 3) + QUEUE_PENALTY * crowded;
-    double miss = c.prefixCached() ? 0 : Math.min(1, promptChars / FULL_MISS_CHARS);
-    return load + miss + (firstInRank ? 0 : RANK_PENALTY);
+    double excessUtilisation = Math.max(0, c.utilisation() - QUEUEING_UTILISATION);
+    double load = Math.pow(c.utilisation(), 3) + QUEUE_PENALTY * excessUtilisation;
+    double missPenalty = c.prefixCached() ? 0 : Math.min(1, promptChars / FULL_MISS_CHARS);
+    return load + missPenalty + (firstInRank ? 0 : RANK_PENALTY);
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/Router.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/Router.java
@@ -76,11 +76,11 @@
               + request.organisation()
               + "'s residency");
     }
-    if (!servedAnywhere(request.model(), directory, view)) {
-      boolean expected = config.namesModel(request.model());
+    if (!isServedAnywhere(request.model(), directory, view)) {
+      boolean namedInConfig = config.namesModel(request.model());
       return new RouteDecision.Refuse(
-          expected ? ErrorKind.NOT_RUN : ErrorKind.UNKNOWN_MODEL,
-          "no endpoint serves model '" + request.model() + "'" + (expected ? " now" : ""));
+          namedInConfig ? ErrorKind.NOT_RUN : ErrorKind.UNKNOWN_MODEL,
+          "no endpoint serves model '" + request.model() + "'" + (namedInConfig ? " now" : ""));
     }
     Optional<RoutingRule> rule =
         config.ruleFor(request.organisation(), request.model(), request.priority());
@@ -96,15 +96,15 @@
     LabelSelector selector = rule.map(RoutingRule::endpoints).orElse(LabelSelector.EVERYTHING);
     String ruleName = rule.map(RoutingRule::name).orElse(NO_RULE);
     List<Candidate> local =
-        allowed(localRegion, residency, rule)
+        isAllowed(localRegion, residency, rule)
             ? localCandidates(request, selector, directory, view, now)
             : List.of();
-    Optional<RegionSummary> remote =
-        request.forwarded() || hasRoom(local)
+    Optional<RegionSummary> targetRegion =
+        request.forwarded() || hasFreeCapacity(local)
             ? Optional.empty()
             : bestRegion(request, residency, rule, view);
-    if (remote.isPresent()) {
-      return new RouteDecision.Forward(remote.get().region());
+    if (targetRegion.isPresent()) {
+      return new RouteDecision.Forward(targetRegion.get().region());
     }
     if (!local.isEmpty()) {
       Optional<Candidate> chosen = policy.choose(local, request);
@@ -122,7 +122,7 @@
                 + (residency.isEmpty() ? "(any)" : residency));
   }
 
-  private static boolean hasRoom(List<Candidate> local) {
+  private static boolean hasFreeCapacity(List<Candidate> local) {
     return local.stream().anyMatch(c -> c.utilisation() < SPILL_UTILISATION);
   }
 
@@ -131,7 +131,7 @@
       RouteRequest request, Set<String> residency, Optional<RoutingRule> rule, GatewayView view) {
     return view.otherRegions().stream()
         .filter(r -> !r.region().equals(localRegion))
-        .filter(r -> allowed(r.region(), residency, rule))
+        .filter(r -> isAllowed(r.region(), residency, rule))
         .filter(r -> !request.excludedEndpoints().contains(r.region()))
         .filter(r -> r.freeSlots(request.model()) > 0)
         .max(
@@ -139,7 +139,8 @@
                 .thenComparing(RegionSummary::region, Comparator.reverseOrder()));
   }
 
-  private static boolean allowed(String region, Set<String> residency, Optional<RoutingRule> rule) {
+  private static boolean isAllowed(
+      String region, Set<String> residency, Optional<RoutingRule> rule) {
     return (residency.isEmpty() || residency.contains(region))
         && rule.map(r -> r.allowsRegion(region)).orElse(true);
   }
@@ -160,12 +161,12 @@
     if (fromOrganisation.isEmpty()) {
       return request.residency();
     }
-    Set<String> both = new HashSet<>(request.residency());
-    both.retainAll(fromOrganisation);
-    return both.isEmpty() ? null : Set.copyOf(both);
+    Set<String> intersection = new HashSet<>(request.residency());
+    intersection.retainAll(fromOrganisation);
+    return intersection.isEmpty() ? null : Set.copyOf(intersection);
   }
 
-  private static boolean servedAnywhere(
+  private static boolean isServedAnywhere(
       String model, EndpointDirectory directory, GatewayView view) {
     return !directory.serving(model).isEmpty()
         || view.otherRegions().stream().anyMatch(r -> r.freeSlotsByModel().containsKey(model));
@@ -185,13 +186,14 @@
           && e.acceptsWork(now)
           && !request.excludedEndpoints().contains(e.id())
           && selector.matches(e.labels())) {
-        candidates.add(new Candidate(e, view.inFlightTo(e.id()), cached(e, prefixHash, view)));
+        candidates.add(
+            new Candidate(e, view.inFlightTo(e.id()), isPrefixCached(e, prefixHash, view)));
       }
     }
     return candidates;
   }
 
-  private static boolean cached(Endpoint e, String prefixHash, GatewayView view) {
+  private static boolean isPrefixCached(Endpoint e, String prefixHash, GatewayView view) {
     return !prefixHash.isEmpty()
         && (e.cachedPrefixes().contains(prefixHash) || view.recentlySentPrefix(e.id(), prefixHash));
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/selector/LabelSelector.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/selector/LabelSelector.java
@@ -23,8 +23,8 @@
 
   /** Returns whether the given labels satisfy the selector. */
   public boolean matches(Map<String, String> labels) {
-    for (Map.Entry<String, String> wanted : matchLabels.entrySet()) {
-      if (!wanted.getValue().equals(labels.get(wanted.getKey()))) {
+    for (Map.Entry<String, String> required : matchLabels.entrySet()) {
+      if (!required.getValue().equals(labels.get(required.getKey()))) {
         return false;
       }
     }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/endpoint/EndpointHealthTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/endpoint/EndpointHealthTest.java
@@ -23,12 +23,13 @@
     "9, 31999, true",
     "9, 32000, false"
   })
-  void passesOverLongerAfterEachFailure(int failures, long laterMillis, boolean passedOver) {
+  void doublesBackoffAfterEachFailureUpToMaximum(
+      int failures, long elapsedMillis, boolean inBackoff) {
     EndpointHealth health = new EndpointHealth(Duration.ofSeconds(1));
     for (int i = 0; i < failures; i++) {
       health.recordFailure("e1", T0);
     }
-    assertThat(health.isInBackoff(T0.plusMillis(laterMillis)).contains("e1"), is(passedOver));
+    assertThat(health.isInBackoff(T0.plusMillis(elapsedMillis)).contains("e1"), is(inBackoff));
     health.recordSuccess("e1");
     assertThat(health.isInBackoff(T0), is(Set.of()));
   }
@@ -38,7 +39,7 @@
    * requested.
    */
   @Test
-  void pauseLastsAsLongAsTheEndpointAskedFor() {
+  void pauseLastsAsLongAsRequested() {
     EndpointHealth health = new EndpointHealth(Duration.ofSeconds(1));
     health.recordPause("e1", Duration.ofSeconds(3), T0);
     health.recordPause("e1", Duration.ofSeconds(1), T0.plusMillis(100));
@@ -49,7 +50,7 @@
 
   /** Verifies that a delayed announcement does not override a newer one that announced draining. */
   @Test
-  void lateAnnouncementDoesNotUndoDraining() {
+  void delayedAnnouncementDoesNotUndoDraining() {
     EndpointDirectory directory =
         EndpointDirectory.EMPTY.with(announcement(2, true)).with(announcement(1, false));
     assertThat(directory.get("e1").orElseThrow().draining(), is(true));
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/idempotency/IdempotencyTableTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/idempotency/IdempotencyTableTest.java
@@ -49,7 +49,7 @@
 
   @ParameterizedTest
   @MethodSource("histories")
-  void givesEachKeyToOneClaimant(List<String> steps, List<String> expected) {
+  void grantsEachKeyToOneClaimant(List<String> steps, List<String> expected) {
     IdempotencyTable table = new IdempotencyTable(Duration.ofHours(1));
     List<String> found = new ArrayList<>();
     for (String step : steps) {
@@ -69,8 +69,8 @@
     assertThat(found, is(expected));
   }
 
-  private static String describe(Optional<Entry> held) {
-    return held.map(e -> e.state().name()).orElse("free");
+  private static String describe(Optional<Entry> existing) {
+    return existing.map(e -> e.state().name()).orElse("free");
   }
 
   static Stream<Arguments> replicationOrders() {
@@ -84,11 +84,11 @@
 
   @ParameterizedTest
   @MethodSource("replicationOrders")
-  void replicasKeepTheMostAdvancedState(List<State> arrivals, State expected) {
-    IdempotencyTable backup = new IdempotencyTable(Duration.ofHours(1));
-    for (State s : arrivals) {
-      backup.merge(new Entry("k", s, OWNER, 200, "", new byte[0], T0), T0);
+  void replicasStoreTheMostAdvancedState(List<State> arrivals, State expected) {
+    IdempotencyTable replica = new IdempotencyTable(Duration.ofHours(1));
+    for (State state : arrivals) {
+      replica.merge(new Entry("k", state, OWNER, 200, "", new byte[0], T0), T0);
     }
-    assertThat(backup.get("k").orElseThrow().state(), is(expected));
+    assertThat(replica.get("k").orElseThrow().state(), is(expected));
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/peer/FrameCodecTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/peer/FrameCodecTest.java
@@ -124,7 +124,7 @@
 
   @ParameterizedTest
   @MethodSource("badFrames")
-  void refusesBadFrames(String name, byte[] body, FrameCodec codec, String expected) {
+  void rejectsMalformedFrames(String name, byte[] body, FrameCodec codec, String expected) {
     MalformedFrameException e =
         assertThrows(MalformedFrameException.class, () -> codec.decode(body));
     assertThat(name, e.getMessage(), containsString(expected));
@@ -132,7 +132,7 @@
 
   @ParameterizedTest
   @MethodSource("oversizedLengths")
-  void refusesOversizedLengthsBeforeReading(int length) {
+  void rejectsLengthsOutOfRange(int length) {
     assertThrows(MalformedFrameException.class, () -> FrameCodec.checkLength(length));
   }
 
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/route/QueuePrioritiesTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/route/QueuePrioritiesTest.java
@@ -18,47 +18,50 @@
  */
 class QueuePrioritiesTest {
   /** A route of a table, with its configured priority, latency objective and service. */
-  record Ranked(int rank, long objectiveMillis, String service) {}
+  record RouteParameters(int priority, long objectiveMillis, String service) {}
 
   /** A test case: the routes of a table and the expected queue priority of each. */
-  record Row(String name, List<Ranked> routes, List<Integer> priorities) {
+  record TestCase(String name, List<RouteParameters> routes, List<Integer> priorities) {
     @Override
     public String toString() {
       return name;
     }
   }
 
-  static Stream<Row> rows() {
+  static Stream<TestCase> rows() {
     return Stream.of(
-        new Row(
+        new TestCase(
             "shorter objective with lower priority than longer one",
-            List.of(new Ranked(0, 1_200, "a"), new Ranked(1, 800, "a")),
+            List.of(new RouteParameters(0, 1_200, "a"), new RouteParameters(1, 800, "a")),
             List.of(0, 0)),
-        new Row(
+        new TestCase(
             "priorities and objectives in the same order",
-            List.of(new Ranked(0, 300, "a"), new Ranked(1, 800, "a")),
+            List.of(new RouteParameters(0, 300, "a"), new RouteParameters(1, 800, "a")),
             List.of(0, 1)),
-        new Row(
+        new TestCase(
             "equal objectives",
-            List.of(new Ranked(2, 800, "a"), new Ranked(1, 800, "a")),
+            List.of(new RouteParameters(2, 800, "a"), new RouteParameters(1, 800, "a")),
             List.of(1, 1)),
-        new Row(
+        new TestCase(
             "route of another service is ignored",
-            List.of(new Ranked(0, 1_200, "a"), new Ranked(1, 800, "b")),
+            List.of(new RouteParameters(0, 1_200, "a"), new RouteParameters(1, 800, "b")),
             List.of(0, 1)),
-        new Row(
+        new TestCase(
             "most urgent of several",
-            List.of(new Ranked(1, 1_200, "a"), new Ranked(0, 2_000, "a"), new Ranked(3, 900, "a")),
+            List.of(
+                new RouteParameters(1, 1_200, "a"),
+                new RouteParameters(0, 2_000, "a"),
+                new RouteParameters(3, 900, "a")),
             List.of(0, 0, 0)),
-        new Row("alone", List.of(new Ranked(4, 900, "a")), List.of(4)));
+        new TestCase("alone", List.of(new RouteParameters(4, 900, "a")), List.of(4)));
   }
 
   @ParameterizedTest
   @MethodSource("rows")
-  void ordersByRankUnlessObjectivesSayOtherwise(Row row) {
+  void combinesPrioritiesWithLatencyObjectives(TestCase testCase) {
     List<Route> routes = new ArrayList<>();
-    for (Ranked ranked : row.routes()) {
-      routes.add(route("r" + routes.size(), ranked));
+    for (RouteParameters parameters : testCase.routes()) {
+      routes.add(route("r" + routes.size(), parameters));
     }
     List<ServiceSpec> services =
         Stream.of("a", "b")
@@ -67,19 +70,19 @@
     RouteTable table = new RouteTable(1, routes, services, RequestLimits.DEFAULT);
     List<Integer> priorities =
         routes.stream().map(r -> table.queuePriority(r, r.shares().get(0).service())).toList();
-    assertThat(priorities, equalTo(row.priorities()));
+    assertThat(priorities, equalTo(testCase.priorities()));
   }
 
-  private static Route route(String name, Ranked ranked) {
+  private static Route route(String name, RouteParameters parameters) {
     return new Route(
         name,
         "host",
         "/" + name + "/",
         RouteKind.STREAM,
         Duration.ofSeconds(8),
-        Duration.ofMillis(ranked.objectiveMillis()),
-        ranked.rank(),
-        List.of(new ServiceShare(ranked.service(), 1)),
+        Duration.ofMillis(parameters.objectiveMillis()),
+        parameters.priority(),
+        List.of(new ServiceShare(parameters.service(), 1)),
         1,
         false,
         Optional.empty(),
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/route/RouteTableTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/route/RouteTableTest.java
@@ -22,7 +22,8 @@
   private static final List<ServiceSpec> SERVICES =
       List.of(new ServiceSpec("s", 10, Duration.ZERO, 0, Optional.empty()));
 
-  private static Route route(String name, String prefix, long timeoutMillis, ServiceShare... to) {
+  private static Route route(
+      String name, String prefix, long timeoutMillis, ServiceShare... shares) {
     return new Route(
         name,
         "host.example",
@@ -31,7 +32,7 @@
         Duration.ofMillis(timeoutMillis),
         Duration.ofMillis(100),
         0,
-        List.of(to),
+        List.of(shares),
         1,
         false,
         Optional.empty(),
@@ -52,7 +53,7 @@
     "host.example, /c/, none",
     "other.example, /a/x, none"
   })
-  void theLongestPrefixWins(String host, String path, String expected) {
+  void matchesLongestPrefix(String host, String path, String expected) {
     ServiceShare all = new ServiceShare("s", 1);
     RouteTable table = table(route("short", "/a/", 1, all), route("long", "/a/b/", 1, all));
     assertThat(table.match(host, path).map(Route::name).orElse("none"), equalTo(expected));
@@ -65,56 +66,60 @@
     "'north east', 'north south', 'north'",
     "'north', 'south', ''"
   })
-  void homesOfHostAreCommonToItsRoutes(String some, String others, String expected) {
-    RouteTable table = table(withHomes("r", "/a/", some), withHomes("q", "/b/", others));
+  void homeRegionsOfHostAreCommonToItsRoutes(
+      String firstHomes, String secondHomes, String expected) {
+    RouteTable table =
+        table(withHomeRegions("r", "/a/", firstHomes), withHomeRegions("q", "/b/", secondHomes));
     assertThat(
         String.join(" ", new TreeSet<>(table.homesOf("HOST.example:80"))), equalTo(expected));
     assertThat(table.homesOf("other.example"), equalTo(Set.of()));
   }
 
-  private static Route withHomes(String name, String prefix, String homes) {
-    Route plain = route(name, prefix, 1, new ServiceShare("s", 1));
+  private static Route withHomeRegions(String name, String prefix, String homeRegions) {
+    Route base = route(name, prefix, 1, new ServiceShare("s", 1));
     return new Route(
-        plain.name(),
-        plain.host(),
-        plain.pathPrefix(),
-        plain.kind(),
-        plain.timeout(),
-        plain.latencyObjective(),
-        plain.priority(),
-        plain.shares(),
-        plain.maxAttempts(),
-        plain.resumable(),
-        plain.pauseObjective(),
-        homes.isEmpty() ? Set.of() : Set.of(homes.split(" ")),
+        base.name(),
+        base.host(),
+        base.pathPrefix(),
+        base.kind(),
+        base.timeout(),
+        base.latencyObjective(),
+        base.priority(),
+        base.shares(),
+        base.maxAttempts(),
+        base.resumable(),
+        base.pauseObjective(),
+        homeRegions.isEmpty() ? Set.of() : Set.of(homeRegions.split(" ")),
         false);
   }
 
   /** A test case: an invalid list of routes and a part of the expected error message. */
-  record Bad(List<Route> routes, String says) {}
+  record InvalidTable(List<Route> routes, String expectedMessage) {}
 
-  static Stream<Bad> bad() {
+  static Stream<InvalidTable> bad() {
     ServiceShare all = new ServiceShare("s", 1);
     return Stream.of(
-        new Bad(List.of(route("r", "/a/", 1, new ServiceShare("t", 1))), "unknown service 't'"),
-        new Bad(List.of(route("r", "/a/", 1, new ServiceShare("s", 0))), "add up to 0"),
-        new Bad(List.of(route("r", "/a/", 0, all)), "no timeout"),
-        new Bad(List.of(route("r", "a/", 1, all)), "slash"),
-        new Bad(List.of(route("r", "/a/", 1, all), route("q", "/a/", 1, all)), "two routes share"));
+        new InvalidTable(
+            List.of(route("r", "/a/", 1, new ServiceShare("t", 1))), "unknown service 't'"),
+        new InvalidTable(List.of(route("r", "/a/", 1, new ServiceShare("s", 0))), "add up to 0"),
+        new InvalidTable(List.of(route("r", "/a/", 0, all)), "no timeout"),
+        new InvalidTable(List.of(route("r", "a/", 1, all)), "slash"),
+        new InvalidTable(
+            List.of(route("r", "/a/", 1, all), route("q", "/a/", 1, all)), "two routes share"));
   }
 
   @ParameterizedTest
   @MethodSource("bad")
-  void refusesWhatMustNotBeInForce(Bad bad) {
-    InvalidRouteTableException refused =
+  void rejectsInvalidTables(InvalidTable invalid) {
+    InvalidRouteTableException exception =
         assertThrows(
-            InvalidRouteTableException.class, () -> table(bad.routes().toArray(Route[]::new)));
-    assertThat(refused.getMessage(), containsString(bad.says()));
+            InvalidRouteTableException.class, () -> table(invalid.routes().toArray(Route[]::new)));
+    assertThat(exception.getMessage(), containsString(invalid.expectedMessage()));
   }
 
   @ParameterizedTest
   @CsvSource({"0.0, s", "0.89, s", "0.91, t", "0.9999, t"})
-  void sharesFollowTheirWeights(double point, String expected) {
+  void picksServicesByWeight(double point, String expected) {
     Route route = route("r", "/a/", 1, new ServiceShare("s", 90), new ServiceShare("t", 10));
     assertThat(route.pick(point), equalTo(expected));
   }
@@ -124,7 +129,7 @@
   }
 
   @Test
-  void keysNameOrganisations() {
+  void findsOrganisationsByKey() {
     RouteTable table =
         new RouteTable(
             1,
@@ -139,7 +144,7 @@
   }
 
   @Test
-  void organisationsDoNotShareKeys() {
+  void rejectsKeySharedByTwoOrganisations() {
     List<Organisation> sharing = List.of(organisation("desk", "k1"), organisation("crew", "k1"));
     assertThrows(
         InvalidRouteTableException.class,
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/routing/CacheAwarePolicyTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/routing/CacheAwarePolicyTest.java
@@ -34,7 +34,7 @@
     "4000, 6, false, 0, false, 1, false, 1",
     "400, 7, true, 0, false, 1, false, 1"
   })
-  void weighsLoadAgainstReadingThePrefixAgain(
+  void weighsLoadAgainstPrefixCacheMiss(
       int promptChars,
       int load0,
       boolean cached0,
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/routing/RouterTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/routing/RouterTest.java
@@ -60,7 +60,7 @@
   }
 
   static Stream<Arguments> rows() {
-    List<RegionSummary> northHasRoom =
+    List<RegionSummary> northHasFreeSlots =
         List.of(new RegionSummary("pohjois-pohjanmaa", Map.of("writer", 5, "desk", 2)));
     EndpointDirectory local =
         EndpointDirectory.EMPTY.with(endpoint("u1", "uusimaa", "writer", false));
@@ -80,7 +80,7 @@
             "draining endpoint gets no requests, forwarded",
             request("any", "writer", Set.of(), false),
             drainingOnly,
-            northHasRoom,
+            northHasFreeSlots,
             NOW,
             "forward:pohjois-pohjanmaa"),
         Arguments.of(
@@ -94,42 +94,42 @@
             "residency forbids forwarding",
             request("any", "writer", Set.of("uusimaa"), false),
             drainingOnly,
-            northHasRoom,
+            northHasFreeSlots,
             NOW,
             "refuse:NOT_RUN"),
         Arguments.of(
             "organisation residency forbids forwarding",
             request("home", "writer", Set.of(), false),
             drainingOnly,
-            northHasRoom,
+            northHasFreeSlots,
             NOW,
             "refuse:NOT_RUN"),
         Arguments.of(
             "disjoint residencies refused",
             request("home", "writer", Set.of("pirkanmaa"), false),
             local,
-            northHasRoom,
+            northHasFreeSlots,
             NOW,
             "refuse:NOT_RUN"),
         Arguments.of(
             "forwarded once is never forwarded again",
             request("any", "writer", Set.of(), true),
             drainingOnly,
-            northHasRoom,
+            northHasFreeSlots,
             NOW,
             "refuse:NOT_RUN"),
         Arguments.of(
             "selector regions exclude the local region",
             request("any", "desk", Set.of(), false),
             EndpointDirectory.EMPTY.with(endpoint("d1", "uusimaa", "desk", false)),
-            northHasRoom,
+            northHasFreeSlots,
             NOW,
             "forward:pohjois-pohjanmaa"),
         Arguments.of(
             "unknown model",
             request("any", "painter", Set.of(), false),
             local,
-            northHasRoom,
+            northHasFreeSlots,
             NOW,
             "refuse:UNKNOWN_MODEL"),
         Arguments.of(
@@ -150,7 +150,7 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("rows")
-  void decides(
+  void servesForwardsOrRefuses(
       String name,
       RouteRequest request,
       EndpointDirectory directory,
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/selector/LabelSelectorTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/selector/LabelSelectorTest.java
@@ -53,11 +53,11 @@
 
   @ParameterizedTest
   @MethodSource("rows")
-  void matchesAsKubernetesDoes(
+  void matchesLikeKubernetes(
       Map<String, String> labels,
       List<Requirement> expressions,
-      Map<String, String> endpoint,
+      Map<String, String> endpointLabels,
       boolean expected) {
-    assertThat(new LabelSelector(labels, expressions).matches(endpoint), is(expected));
+    assertThat(new LabelSelector(labels, expressions).matches(endpointLabels), is(expected));
   }
 }
