--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/PeerMessage.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/PeerMessage.java
@@ -34,7 +34,7 @@
       List<RegionDigest> digests,
       boolean asking)
       implements PeerMessage {
-    /** Copies the collections so the message is immutable. */
+    /** Copies the collections so that the message is immutable. */
     public Gossip {
       signs = List.copyOf(signs);
       introductions = List.copyOf(introductions);
