--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/EndpointHealth.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/EndpointHealth.java
@@ -12,8 +12,8 @@
  * Records the endpoint failures and pause requests that this entry has observed itself.
  *
  * <p>An endpoint that fails is in backoff for a while, twice as long after each further failure up
- * to a maximum; a success ends the backoff and resets its duration. Leases alone do not suffice, because the lease of an
- * endpoint that has crashed may not have expired yet.
+ * to a maximum; a success ends the backoff and resets its duration. Leases alone do not suffice,
+ * because the lease of an endpoint that has crashed may not have expired yet.
  *
  * <p>An endpoint that requested a pause gets no requests during the pause, even if there is no
  * other endpoint, because it announced that it would reject them.
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/idempotency/IdempotencyTable.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/idempotency/IdempotencyTable.java
@@ -80,7 +80,7 @@
    * @return empty if the claim succeeded, else the existing record of the key
    */
   public Optional<Entry> claim(String key, Claimant claimant, Instant now) {
-    Entry newEntry = running(key, claimant, now);
+    Entry newEntry = newRunningEntry(key, claimant, now);
     Entry existing = entries.putIfAbsent(key, newEntry);
     boolean claimed =
         existing == null
@@ -100,7 +100,7 @@
             existing -> existing.state() != State.RUNNING || !existing.claimant().equals(claimant));
   }
 
-  private Entry running(String key, Claimant claimant, Instant now) {
+  private Entry newRunningEntry(String key, Claimant claimant, Instant now) {
     return new Entry(key, State.RUNNING, claimant, 0, "", new byte[0], now.plus(retention));
   }
 
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/peer/FrameCodecTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/peer/FrameCodecTest.java
@@ -114,11 +114,11 @@
           c[c.length - 1] ^= 1;
           return c;
         };
-    FrameCodec otherSecret =
+    FrameCodec otherSecretCodec =
         new FrameCodec("another-secret-of-16".getBytes(StandardCharsets.UTF_8));
     return Stream.of(
         Arguments.of("tampered payload", flipLast.apply(body), CODEC, "does not verify"),
-        Arguments.of("wrong secret", body, otherSecret, "does not verify"),
+        Arguments.of("wrong secret", body, otherSecretCodec, "does not verify"),
         Arguments.of("too short", Arrays.copyOf(body, 10), CODEC, "outside"));
   }
 
