--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/AdvertisedConditions.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/AdvertisedConditions.java
@@ -5,25 +5,26 @@
 import org.lacewingcroft.limit.EndpointRateLimit;
 
 /**
- * On which conditions an endpoint takes requests, as its answers to this entry state them. They are
- * its own word and hold for its whole incarnation, whatever the control instances tell of it.
+ * The conditions under which an endpoint accepts requests, as advertised by its responses to this
+ * entry. They come from the endpoint itself and apply to its whole incarnation, whatever the
+ * control instances report about it.
  *
- * <p>Not thread-safe: owned by the entry's event loop.
+ * <p>Not thread-safe: confined to the entry's event loop thread.
  */
 public final class AdvertisedConditions {
   private final EndpointRateLimit rateLimit = new EndpointRateLimit();
   private Instant pausedUntil = Instant.EPOCH;
   private boolean leaving;
 
-  /** Returns the rate that it takes from all entries together. */
+  /** Returns the rate limit that the endpoint advertises for all entries together. */
   public EndpointRateLimit rateLimit() {
     return rateLimit;
   }
 
   /**
-   * Notes that the endpoint leaves.
+   * Records that the endpoint is draining.
    *
-   * @return whether this entry did not know
+   * @return whether this entry did not know this before
    */
   public boolean markDraining() {
     boolean news = !leaving;
@@ -31,18 +32,20 @@
     return news;
   }
 
-  /** Returns whether the endpoint leaves; an incarnation that leaves does not come back. */
+  /**
+   * Returns whether the endpoint is draining; such an incarnation does not accept requests again.
+   */
   public boolean isDraining() {
     return leaving;
   }
 
-  /** Takes the endpoint's wish to get nothing from this entry for a while. */
+  /** Records a pause that the endpoint requested, during which this entry must not send to it. */
   public void pause(Duration pause, Instant now) {
     Instant until = now.plus(pause);
     pausedUntil = until.isAfter(pausedUntil) ? until : pausedUntil;
   }
 
-  /** Returns how much longer the endpoint wants nothing from this entry, zero if it takes work. */
+  /** Returns the time left of the requested pause; zero if there is none. */
   public Duration remainingPause(Instant now) {
     return pausedUntil.isAfter(now) ? Duration.between(now, pausedUntil) : Duration.ZERO;
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/EndpointTracker.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/EndpointTracker.java
@@ -15,51 +15,60 @@
 import org.lacewingcroft.misc.Rendezvous;
 
 /**
- * What one entry knows of one endpoint beyond its record: the work it has in flight there, what the
- * region's other entries told of theirs, how fast and how reliably it answers, and which prefixes
- * it holds. {@link Placer} decides by it.
+ * The state that one entry keeps about one endpoint in addition to its record: this entry's
+ * requests in flight, the load that the region's other entries report, prefill speed, time per
+ * output token, failures, and cached prompt prefixes. {@link Placer} bases its decisions on it.
  *
- * <p>Not thread-safe: owned by the entry's event loop.
+ * <p>Not thread-safe: confined to the entry's event loop thread.
  */
 public final class EndpointTracker {
-  /** Priorities told apart; the platform of the model engines knows ten. */
+  /** Number of request priorities; the model engines' platform distinguishes ten. */
   public static final int PRIORITIES = 10;
 
-  /** Prompt tokens read in a millisecond, until measured: a large model on a recent accelerator. */
+  /** Prefill speed assumed before the first measurement: a large model on a recent accelerator. */
   private static final double INITIAL_TOKENS_PER_MILLI = 80;
 
-  /** Bounds of a believable measurement of the same. */
+  /** Bounds of a plausible prefill speed; measured samples are clamped to them. */
   private static final double MIN_TOKENS_PER_MILLI = 4;
 
   private static final double MAX_TOKENS_PER_MILLI = 120;
 
-  /** Prompts shorter than this say more about the network than about the engine's speed. */
+  /**
+   * Shorter prefills are not sampled: their time depends more on the network than on the engine.
+   */
   private static final long MEASURABLE_TOKENS = 1_500;
 
-  /** Time a request takes at a plain service, until measured. */
+  /** Service time of a request at a plain service, assumed before the first measurement. */
   private static final double INITIAL_SERVICE_MILLIS = 30;
 
-  /** Weight of a new sample in the running averages: about the last ten count. */
+  /** Weight of a new sample in the exponential moving averages, which cover about ten samples. */
   private static final double SAMPLE_WEIGHT = 0.1;
 
   /**
-   * Silence of an endpoint that owes an answer after which new work avoids it: engines yield a byte
-   * of some stream many times a second, and callers give up after two seconds.
+   * Time without a byte after which an endpoint with requests in flight gets no new requests while
+   * another endpoint is available: engines send a byte of some stream many times a second, and
+   * callers time out after two seconds.
    */
   private static final Duration SUSPICIOUS_SILENCE = Duration.ofMillis(800);
 
-  /** How long an endpoint that refused a connection is left alone at first, doubling up to 2 s. */
+  /**
+   * Backoff after the first failed connection attempt or unresponsive period; it doubles with each
+   * further one.
+   */
   private static final long REFUSED_PAUSE_MILLIS = 250;
 
   private static final long MAX_REFUSED_PAUSE_MILLIS = 2_000;
 
-  /** Least pause between two requests of one entry to a cold endpoint: its bound is a second. */
+  /**
+   * Minimum interval between two requests of one entry to a cold endpoint: its limit applies to
+   * each second, in which one entry then sends at most one request.
+   */
   private static final Duration COLD_PAUSE = Duration.ofMillis(1_100);
 
-  /** Time in which a remembered failure counts half. */
+  /** Time after which a recorded failure has half its weight. */
   private static final double FAILURE_HALF_LIFE_MILLIS = 2_000;
 
-  /** Recent failures below which an endpoint is taken to yield what it holds. */
+  /** Failure score below which an endpoint is used as a source of KV cache. */
   private static final double MOST_FAILURES_OF_SOURCE = 0.5;
 
   private EndpointRecord record;
@@ -75,9 +84,10 @@
   private final AdvertisedConditions conditions;
 
   /**
-   * Reading speed by priority. It is measured apart, because more urgent requests that arrive later
-   * are read first: what is left for the less urgent shrinks with the load, and a wait foretold
-   * from the engine's full speed would be too short by far.
+   * Prefill speed by priority, in tokens a millisecond. It is measured separately for each
+   * priority, because the engine processes more urgent requests first even if they arrive later:
+   * the speed left for less urgent requests drops as the load rises, and a wait estimated from the
+   * engine's full speed would be far too short.
    */
   private final double[] tokensPerMilli = new double[PRIORITIES];
 
@@ -94,7 +104,7 @@
 
   private record PeerWork(int running, Instant at) {}
 
-  /** One request in flight at the endpoint. */
+  /** A request in flight at the endpoint. */
   public final class InFlightRequest {
     private final ReadingQueue.Unread prompt;
     private final double aheadTokens;
@@ -114,12 +124,14 @@
       return sentAt;
     }
 
-    /** Returns how many tokens of its prompt the endpoint had to read when it was sent. */
+    /**
+     * Returns how many tokens of its prompt the endpoint had to prefill when the request was sent.
+     */
     public long prefillTokens() {
       return prompt.tokens();
     }
 
-    /** Notes bytes of the answer; the first ones end the reading of the prompt. */
+    /** Records bytes of the response; the first ones mark the end of the prefill. */
     public void bytesReceived(Instant now) {
       lastByteAt = now;
       silences = 0;
@@ -132,9 +144,9 @@
     }
 
     /**
-     * Notes events of the answer.
+     * Records events of the response.
      *
-     * @param newTokens the tokens in them
+     * @param newTokens the number of output tokens in them
      */
     public void eventsReceived(long newTokens, Instant now) {
       lastEventAt.ifPresent(at -> pace.sample(Duration.between(at, now), newTokens, now));
@@ -152,7 +164,7 @@
       }
     }
 
-    /** Ends the request. */
+    /** Ends the request; further calls have no effect. */
     public void finish(Outcome outcome, Instant now) {
       if (ended) {
         return;
@@ -179,13 +191,13 @@
 
   /** How a request ended at an endpoint. */
   public enum Outcome {
-    /** It answered, whatever the status, in full. */
+    /** The endpoint sent a complete response, whatever its status. */
     ANSWERED,
-    /** It answered with a server error, broke off or said nothing. */
+    /** The endpoint sent a server error, an incomplete response or nothing. */
     FAILED,
-    /** It refused the request without running it. */
+    /** The endpoint rejected the request without running it. */
     NOT_RUN,
-    /** The caller left, or this instance gave up. */
+    /** The caller disconnected, or this instance cancelled the request. */
     CANCELLED
   }
 
@@ -194,14 +206,14 @@
     this(record, new AdvertisedConditions(), now);
   }
 
-  /** Starts tracking an endpoint that may have stated conditions before. */
+  /** Starts tracking an endpoint whose incarnation may already have advertised conditions. */
   EndpointTracker(EndpointRecord record, AdvertisedConditions conditions, Instant now) {
     this.conditions = conditions;
     Arrays.fill(tokensPerMilli, INITIAL_TOKENS_PER_MILLI);
     update(record, now);
   }
 
-  /** Takes a newer record of the same endpoint. */
+  /** Replaces the record with a newer one of the same endpoint. */
   public void update(EndpointRecord newer, Instant now) {
     record = newer;
     wrongInstance = false;
@@ -209,7 +221,7 @@
     coldUntil = coldUntil == null || cold.isAfter(coldUntil) ? cold : coldUntil;
   }
 
-  /** Treats the endpoint as cold until an instant. */
+  /** Treats the endpoint as cold at least until an instant. */
   public void extendColdUntil(Instant until) {
     coldUntil = until.isAfter(coldUntil) ? until : coldUntil;
   }
@@ -219,12 +231,12 @@
     return record;
   }
 
-  /** Returns on which conditions the endpoint takes requests. */
+  /** Returns the conditions under which the endpoint accepts requests. */
   public AdvertisedConditions conditions() {
     return conditions;
   }
 
-  /** Returns the rate that the endpoint takes from all entries together. */
+  /** Returns the rate limit that the endpoint advertises for all entries together. */
   public EndpointRateLimit rateLimit() {
     return conditions.rateLimit();
   }
@@ -234,17 +246,20 @@
     return coldUntil.isAfter(now);
   }
 
-  /** Returns when this entry last had a byte of an answer, or began to send while idle. */
+  /**
+   * Returns when this entry last received a byte of a response, or sent a request while it had none
+   * in flight there, whichever is later.
+   */
   public Instant lastByteAt() {
     return lastByteAt;
   }
 
-  /** Returns the requests of this entry in flight there. */
+  /** Returns the number of this entry's requests in flight at the endpoint. */
   public int inFlight() {
     return running;
   }
 
-  /** Returns this entry's prompts that the endpoint has not read yet. */
+  /** Returns this entry's prompts that the endpoint has not prefilled yet. */
   public List<FleetMessage.UnreadPrompt> pendingPrompts(Instant now) {
     return reading.own().stream()
         .map(
@@ -254,7 +269,7 @@
         .toList();
   }
 
-  /** Takes another entry's report of its work there. */
+  /** Replaces the load that another entry last reported for this endpoint. */
   public void updatePeerLoad(
       String entry, int peerRunning, List<FleetMessage.UnreadPrompt> prompts, Instant now) {
     if (peerRunning == 0) {
@@ -274,9 +289,10 @@
   }
 
   /**
-   * Begins a request there.
+   * Records a request that is sent to the endpoint now.
    *
-   * @param fetchedTokens the tokens of its prompt that the endpoint fetches instead of reading them
+   * @param fetchedTokens the number of prompt tokens whose KV cache the endpoint fetches instead of
+   *     prefilling them
    */
   public InFlightRequest startRequest(
       PlacementRequest request, long fetchedTokens, long kvCapacityTokens, Instant now) {
@@ -301,15 +317,15 @@
     return ticket;
   }
 
-  /** Notes that a connection could not be had. */
+  /** Records that a connection to the endpoint could not be established. */
   public void recordConnectFailure(Instant now) {
     refusals++;
     refusedUntil = now.plusMillis(pauseMillis(refusals));
   }
 
   /**
-   * Notes that a request ended while the endpoint owed answers and said nothing. Without this the
-   * endpoint would look idle once the last such request has ended, and get all the work again.
+   * Records that a request ended while the endpoint was unresponsive. Without this the endpoint
+   * would look idle once the last such request has ended, and would get all new requests again.
    */
   private void fellSilent(Instant now) {
     silences++;
@@ -322,19 +338,19 @@
   }
 
   /**
-   * Returns whether the endpoint has not answered since it fell silent: connections to it from
-   * before may lead nowhere, and what is written to them may or may not run.
+   * Returns whether the endpoint has sent no byte since it was last unresponsive: connections
+   * opened before may be dead, and a request written to one of them may or may not run.
    */
   public boolean isUnconfirmed() {
     return silences > 0;
   }
 
-  /** Notes that another incarnation answers at the address. */
+  /** Records that another incarnation answers at the endpoint's address. */
   public void markReplaced() {
     wrongInstance = true;
   }
 
-  /** Notes that the endpoint refused a request because it is full. */
+  /** Records that the endpoint rejected a request because it is full. */
   public void markFull(Instant now) {
     busyUntil = now.plusMillis(Math.round(Math.min(500, Math.max(50, serviceMillis))));
   }
@@ -352,17 +368,17 @@
     return failureScore * Math.pow(0.5, Math.min(100, millis / FAILURE_HALF_LIFE_MILLIS));
   }
 
-  /** Returns the recent failures, each counting less the older it is. */
+  /** Returns a score of the recent failures; the weight of each decreases with its age. */
   public double recentFailures(Instant now) {
     return failureScore(now);
   }
 
-  /** Returns whether the endpoint may get new work at all. */
+  /** Returns whether the endpoint may get new requests at all. */
   public boolean acceptsRequests(Instant now) {
     return inService(now) && conditions.remainingPause(now).isZero();
   }
 
-  /** Returns whether the endpoint takes work but for a pause that it asked for. */
+  /** Returns whether the endpoint accepts requests, apart from any pause that it requested. */
   private boolean inService(Instant now) {
     return record.state() == EndpointState.READY
         && !conditions.isDraining()
@@ -371,18 +387,18 @@
   }
 
   /**
-   * Returns how many entries share the rate that the endpoint states.
+   * Returns how many entries share the rate that the endpoint advertises.
    *
    * @param entry this entry's name
    * @param regionEntries the names of the region's entries
-   * @return 0 if this entry is none of them
+   * @return 0 if this entry is not one of them
    */
   private int rateSenders(String entry, List<String> regionEntries) {
     int senders = Math.min(rateLimit().maxSenders(), regionEntries.size());
     return isAmongFirst(entry, regionEntries, senders) ? senders : 0;
   }
 
-  /** Returns whether an entry is one of the first in the order in which they use the endpoint. */
+  /** Returns whether an entry is among the first entries in the endpoint's rendezvous order. */
   boolean isAmongFirst(String entry, List<String> regionEntries, int count) {
     return regionEntries.size() <= count
         || Rendezvous.rank(regionEntries, n -> n, record.id()).stream()
@@ -390,16 +406,16 @@
             .anyMatch(entry::equals);
   }
 
-  /** Returns whether the rate that the endpoint states bears one more request of this entry now. */
+  /** Returns whether the advertised rate limit admits one more request of this entry now. */
   public boolean withinRate(String entry, List<String> regionEntries, Instant now) {
     return rateLimit().perSecond().isEmpty()
         || rateLimit().admits(rateSenders(entry, regionEntries), now);
   }
 
   /**
-   * Returns how long until the conditions that the endpoint states bear one more request.
+   * Returns how long until the advertised conditions admit one more request.
    *
-   * @return empty if it is out of service for another reason
+   * @return empty if the endpoint accepts no requests for another reason
    */
   Optional<Duration> untilConditionsHold(String entry, List<String> regionEntries, Instant now) {
     if (!inService(now)) {
@@ -410,46 +426,50 @@
     return Optional.of(rate.compareTo(pause) > 0 ? rate : pause);
   }
 
-  /** Returns whether a cold endpoint bears one more request of this entry now. */
+  /** Returns whether this entry may send one more request to the endpoint now while it is cold. */
   public boolean coldPauseOver(Instant now) {
     return !coldSentAt.plus(COLD_PAUSE).isAfter(now);
   }
 
   /**
-   * Returns whether another endpoint may be told to fetch KV cache from it. An endpoint that has
-   * just crashed is known by its broken answers long before its record says so; what it was to
-   * yield is read in full instead, unforeseen: after the crash of one of four engines three prompts
-   * of 13,000 to 29,000 tokens went to one other, 68,000 tokens to read where 17,000 were expected,
-   * and the questions behind them had their first bytes after 2.5 s instead of 0.6 s.
+   * Returns whether other endpoints may be told to fetch KV cache from this one. After a crash,
+   * lost connections show the failure long before the record does. A prefix that cannot be fetched
+   * is prefilled in full, which the wait estimates do not include: when one of four engines
+   * crashes, three prompts of 13,000 to 29,000 tokens sent to a single other engine can take 68,000
+   * tokens of prefill instead of an estimated 17,000, which delays the first bytes of the requests
+   * behind them from 0.6 s to 2.5 s.
    */
   public boolean isPrefixSource(Instant now) {
     return acceptsRequests(now) && !isSuspect(now) && failureScore(now) < MOST_FAILURES_OF_SOURCE;
   }
 
-  /** Returns whether the endpoint owes answers and is or was a moment ago silent for too long. */
+  /** Returns whether the endpoint is unresponsive or in backoff after an unresponsive period. */
   public boolean isSuspect(Instant now) {
     return owesAnswers(now) || silentUntil.isAfter(now);
   }
 
-  /** Returns whether the endpoint owes answers and has been silent for too long. */
+  /**
+   * Returns whether the endpoint is unresponsive: it has an overdue response and has sent no byte
+   * for too long.
+   */
   public boolean owesAnswers(Instant now) {
     Instant limit = now.minus(SUSPICIOUS_SILENCE);
     return !open.isEmpty() && open.get(0).sentAt.isBefore(limit) && lastByteAt.isBefore(limit);
   }
 
-  /** Returns whether the endpoint said a moment ago that it is full. */
+  /** Returns whether the endpoint rejected a request a moment ago because it was full. */
   public boolean saidFull(Instant now) {
     return busyUntil.isAfter(now);
   }
 
-  /** Returns how many tokens of the prompt it would have to read. */
+  /** Returns how many tokens of the prompt the endpoint would have to prefill or fetch. */
   public long uncachedTokens(PlacementRequest request) {
     return Math.max(0, request.promptTokens() - prefixes.heldTokensOf(request.parts()));
   }
 
   /**
-   * Notes that the endpoint has read some leading parts of a prompt, as an answer showed here or at
-   * another entry.
+   * Records that the endpoint has prefilled some leading parts of a prompt, as shown by a response
+   * to this entry or to another one.
    */
   public void recordPrefix(List<PromptPart> parts, long kvCapacityTokens) {
     prefixes.read(parts, kvCapacityTokens);
@@ -457,8 +477,9 @@
   }
 
   /**
-   * Returns how many leading tokens of the prompt it has read for certain, so that another endpoint
-   * can fetch them: what it was sent a moment ago and may still be reading does not count.
+   * Returns how many leading tokens of the prompt the endpoint is known to have prefilled, so that
+   * another endpoint can fetch them. Prompts that it was sent a moment ago and may still be
+   * prefilling do not count.
    */
   public long fetchableTokens(PlacementRequest request) {
     return readPrefixes.heldTokensOf(request.sharedParts());
@@ -468,7 +489,7 @@
     return reading.tokensAhead(priority, prefillTokensPerMilli(priority), now);
   }
 
-  /** Returns all entries' requests in flight there. */
+  /** Returns the number of all entries' requests in flight at the endpoint. */
   public int allRunning(Instant now) {
     int all = running;
     for (PeerWork peer : peers.values()) {
@@ -479,7 +500,7 @@
     return all;
   }
 
-  /** Returns the time until a request of this priority would begin to be worked on, in ms. */
+  /** Returns the estimated time until a request of this priority starts to be processed, in ms. */
   public double waitMillis(int priority, Instant now) {
     int slots = Math.max(1, record.slots());
     int over = allRunning(now) + 1 - slots;
@@ -487,22 +508,24 @@
     return tokensAhead(priority, now) / prefillTokensPerMilli(priority) + slotWait;
   }
 
-  /** Returns how long each token of an answer takes there, in ms. */
+  /** Returns the estimated time per output token, in ms. */
   public double tokenMillis(Instant now) {
     return pace.millisPerToken(now);
   }
 
-  /** Returns the time from sending a request to the first byte of its answer, in ms. */
+  /**
+   * Returns the estimated time from sending a request to the first byte of its response, in ms.
+   */
   public double firstByteMillis(PlacementRequest request, Instant now) {
     return waitMillis(request.priority(), now) + readMillis(request, uncachedTokens(request));
   }
 
-  /** Returns the time to read some tokens of a request, in ms. */
+  /** Returns the estimated time to prefill some tokens of a request, in ms. */
   public double readMillis(PlacementRequest request, long tokens) {
     return tokens / prefillTokensPerMilli(request.priority());
   }
 
-  /** Returns the reading speed measured for a priority, in prompt tokens a millisecond. */
+  /** Returns the prefill speed measured for a priority, in prompt tokens a millisecond. */
   public double prefillTokensPerMilli(int priority) {
     return tokensPerMilli[bounded(priority)];
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/ExtraSendBudget.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/ExtraSendBudget.java
@@ -8,11 +8,12 @@
 import java.util.Map;
 
 /**
- * Bounds sends beyond the first of each request, by service, over a sliding window. All entries
- * share one budget: each takes its part of the fixed slack and the ratio of its own requests, and
- * uses {@link #USED_SHARE} of both, so that entries that disagree on how many they are keep it too.
+ * Limits extra sends (any send of a request after the first: retry, hedge or relay), by service
+ * over a sliding window. All entries share one budget: each entry takes its part of the fixed slack
+ * and the ratio of its own requests, but uses only {@link #USED_SHARE} of both, so that the limit
+ * also holds while entries disagree on how many they are.
  *
- * <p>Not thread-safe: owned by the entry's event loop.
+ * <p>Not thread-safe: confined to the entry's event loop thread.
  */
 public final class ExtraSendBudget {
   private static final double USED_SHARE = 0.6;
@@ -27,8 +28,8 @@
    * Creates a budget.
    *
    * @param ratio extra sends allowed for each request in the window
-   * @param slack extra sends allowed besides, over all entries
-   * @param window the window's length
+   * @param slack extra sends allowed in addition, over all entries
+   * @param window the length of the window
    */
   public ExtraSendBudget(double ratio, double slack, Duration window) {
     this.ratio = ratio;
@@ -44,8 +45,8 @@
   /**
    * Takes one extra send from the budget.
    *
-   * @param entries how many entries share the budget
-   * @return whether it may be sent
+   * @param entries the number of entries that share the budget
+   * @return whether the request may be sent again
    */
   public boolean tryTake(String service, int entries, Instant now) {
     Deque<Instant> taken = recent(extras, service, now);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/KeepAlivePolicy.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/KeepAlivePolicy.java
@@ -7,38 +7,42 @@
 import java.util.Optional;
 
 /**
- * For how long an unused connection to an endpoint may be used again.
+ * Decides for how long an idle connection to an endpoint may be reused.
  *
- * <p>A request written to a connection that the endpoint has dropped is reset, and nobody can say
- * whether it ran: one that may run only once is lost. Endpoints state how long they keep unused
- * connections, but some drop them sooner and without notice. The first such reset shortens the time
- * for that endpoint; a second endpoint's, for all of them, since endpoints of one make behave
- * alike. New connections are cheap, but not free: without evidence the stated time is used.
+ * <p>A request written to a connection that the endpoint has closed is reset, and it is unknown
+ * whether it ran: a request that may run only once cannot be retried and is lost. Endpoints
+ * advertise how long they keep idle connections, but some close them earlier and without notice.
+ * The first such reset shortens the timeout for that endpoint; a reset at a second endpoint
+ * shortens it for all endpoints, since endpoints of the same implementation behave alike. New
+ * connections are cheap, but not free: without such resets the advertised timeout is used.
  *
- * <p>Not thread-safe: owned by the entry's event loop.
+ * <p>Not thread-safe: confined to the entry's event loop thread.
  */
 public final class KeepAlivePolicy {
-  /** Used if an endpoint states no time. */
+  /** Used if an endpoint advertises no timeout. */
   private static final Duration DEFAULT_KEEP = Duration.ofSeconds(4);
 
-  /** Kept free below the time that an endpoint states, in whole seconds. */
+  /** Subtracted from the advertised timeout, which is in whole seconds. */
   private static final Duration STATED_MARGIN = Duration.ofSeconds(1);
 
   private static final Duration SHORTEST_STATED = Duration.ofMillis(400);
 
-  /** A connection that rested for less is reused all the same: no endpoint drops one so soon. */
+  /** Timeout after early closes; no endpoint closes a connection that was idle for less. */
   private static final Duration SHORT_KEEP = Duration.ofMillis(200);
 
-  /** How long the evidence counts: such trouble lasts for seconds, and it is seen again at once. */
+  /**
+   * How long a reset counts: early closes occur over periods of seconds, and new ones are detected
+   * at once.
+   */
   private static final Duration REMEMBERED = Duration.ofSeconds(20);
 
   private final Map<String, Instant> droppedAt = new HashMap<>();
 
   /**
-   * Notes that a connection was reset before any byte of an answer.
+   * Records that a connection was reset before any byte of a response.
    *
    * @param address the endpoint's address
-   * @param rested how long the connection had been unused
+   * @param idle how long the connection had been idle
    */
   public void recordReset(String address, Duration rested, Instant now) {
     droppedAt.values().removeIf(at -> !at.plus(REMEMBERED).isAfter(now));
@@ -48,9 +52,9 @@
   }
 
   /**
-   * Returns how long a connection may rest before it is used again.
+   * Returns how long a connection may be idle and still be reused.
    *
-   * @param stated the time that the endpoint states, if it does
+   * @param advertised the timeout that the endpoint advertises, if any
    */
   public Duration idleTimeout(String address, Optional<Duration> stated, Instant now) {
     Duration keep = stated.map(s -> s.minus(STATED_MARGIN)).orElse(DEFAULT_KEEP);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placement.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placement.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** Where a request goes. */
+/** The decision where a request goes. */
 public sealed interface Placement {
-  /** Returns a short word for where the request goes, for metrics. */
+  /** Returns the value of the metric label for this decision. */
   default String where() {
     if (this instanceof Refused refused) {
       return refused.reason().name().toLowerCase(Locale.ROOT);
@@ -16,12 +16,12 @@
   }
 
   /**
-   * To an endpoint of this region.
+   * The request goes to an endpoint of this region.
    *
    * @param endpoint the endpoint
-   * @param expectedMillis the expected time to the first byte of its answer
-   * @param tokenMillis how long each token after it takes there
-   * @param fetch the part of the prompt that it shall fetch instead of reading it
+   * @param expectedMillis the estimated time to the first byte of its response
+   * @param tokenMillis the estimated time per output token
+   * @param fetch the prefix of the prompt that the endpoint fetches instead of prefilling it
    */
   record ToEndpoint(
       EndpointTracker endpoint,
@@ -31,48 +31,49 @@
       implements Placement {}
 
   /**
-   * KV cache of a prompt's beginning that one endpoint fetches from another.
+   * KV cache of a prompt prefix that one endpoint fetches from another.
    *
-   * @param source the endpoint that holds it
-   * @param tokens how many tokens it holds beyond what the fetching endpoint holds itself
+   * @param source the endpoint that caches it
+   * @param tokens the number of tokens that the source caches beyond those that the fetching
+   *     endpoint caches itself
    */
   record PrefixFetch(EndpointTracker source, long tokens) {}
 
   /**
-   * To an entry of another region, which places it there.
+   * The request goes to an entry of another region, which places it there.
    *
    * @param region the region
-   * @param expectedMillis the expected wait there
+   * @param expectedMillis the estimated time to the first byte of its response
    */
   record ToRegion(String region, double expectedMillis) implements Placement {}
 
   /**
-   * Nowhere: it would wait too long, or nothing can run it.
+   * The request is refused, because the wait would be too long or no endpoint can run it.
    *
-   * @param reason why, for the log and the caller
-   * @param retryAfter when it is worth coming back
-   * @param evidence what decided it, for the log
+   * @param reason the reason, for the log and the caller
+   * @param retryAfter the delay after which the caller should retry
+   * @param evidence the waits behind the decision, for the log
    */
   record Refused(Reason reason, Duration retryAfter, RefusalDetails evidence)
       implements Placement {}
 
   /**
-   * The waits that a refusal went by.
+   * The waits on which a refusal is based.
    *
-   * @param localWaitMillis the shortest wait in this region, if an endpoint here was usable
-   * @param remoteWaitMillis the shortest wait told by another region that may run it
-   * @param maxWaitMillis the longest wait with which the request would have been taken
+   * @param localWaitMillis the shortest wait in this region, if it has a usable endpoint
+   * @param remoteWaitMillis the shortest wait reported by another region that may run the request
+   * @param maxWaitMillis the longest wait with which the request would have been accepted
    */
   record RefusalDetails(
       OptionalLong localWaitMillis, OptionalLong remoteWaitMillis, long maxWaitMillis) {}
 
-  /** Why a request is refused. */
+  /** The reason why a request is refused. */
   enum Reason {
-    /** No endpoint that may run it is known or usable. */
+    /** No endpoint that may run the request is known or usable. */
     NO_ENDPOINT,
-    /** Every endpoint that may run it has had its rate of requests or asked for a pause. */
+    /** Every endpoint that may run the request has reached its rate limit or requested a pause. */
     PACED,
-    /** Wherever it may run, the wait is longer than the caller's objective. */
+    /** The wait exceeds what the caller's objective allows wherever the request may run. */
     OVERLOADED
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PlacementMechanism.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PlacementMechanism.java
@@ -5,23 +5,25 @@
 import java.util.Set;
 
 /**
- * A part of the placement that can be switched off by itself, so that what it is worth on a
- * deployment can be measured there.
+ * A part of the placement that can be disabled on its own, so that its effect on a deployment can
+ * be measured there.
  */
 public enum PlacementMechanism {
   /** Endpoints fetch KV cache of shared prefixes from each other. */
   PREFIX_FETCH,
-  /** The time that the whole answer takes counts, from the measured pace of tokens. */
+  /**
+   * Placement considers the time of the whole response, from the measured time per output token.
+   */
   TOKEN_PACE,
-  /** An entry that starts asks its region's endpoints which prefixes they hold. */
+  /** A starting entry asks its region's endpoints which prefixes they cache. */
   PREFIX_LISTING,
-  /** Endpoints that fell silent are avoided until one of them answers again. */
+  /** Endpoints that were unresponsive are avoided until they send a byte again. */
   SILENCE_MEMORY;
 
   /**
-   * Reads names separated by commas; an empty text names none.
+   * Parses a comma-separated list of names; an empty text is an empty list.
    *
-   * @throws IllegalArgumentException if a name is not known; its message lists those that are
+   * @throws IllegalArgumentException if a name is unknown; its message lists the valid names
    */
   public static Set<PlacementMechanism> parse(String names) {
     Set<PlacementMechanism> named = EnumSet.noneOf(PlacementMechanism.class);
@@ -40,6 +42,6 @@
         .orElseThrow(
             () ->
                 new IllegalArgumentException(
-                    "no mechanism '" + name + "'; name some of " + Arrays.toString(values())));
+                    "unknown mechanism '" + name + "'; valid names: " + Arrays.toString(values())));
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PlacementRequest.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PlacementRequest.java
@@ -5,16 +5,16 @@
 import java.util.Set;
 
 /**
- * What placement needs to know of a request.
+ * The properties of a request that placement depends on.
  *
- * @param service the service that shall run it
- * @param priority its rank, 0 the most urgent
+ * @param service the service that runs it
+ * @param priority its priority, 0 the most urgent
  * @param promptTokens the length of its prompt; 0 for a plain service
- * @param expectedOutputTokens how many tokens its answer is expected to have; 0 for a plain service
- * @param parts the prompt's parts, as far as the caller named them
- * @param firstByteObjective the time to the first byte of the answer that the caller wants
- * @param remaining what is left of its deadline
- * @param excludedEndpoints endpoints not to be tried (again)
+ * @param expectedOutputTokens the estimated length of its response; 0 for a plain service
+ * @param parts the prompt's parts, as far as the caller identified them
+ * @param firstByteObjective the caller's objective for the time to the first byte of the response
+ * @param remaining the time left until its deadline
+ * @param excludedEndpoints ids of endpoints that must not be tried, or not again
  */
 public record PlacementRequest(
     String service,
@@ -26,7 +26,7 @@
     Duration remaining,
     Set<String> excludedEndpoints) {
 
-  /** Copies the collections so the request is immutable. */
+  /** Copies the collections, so that the request is immutable. */
   public PlacementRequest {
     parts = List.copyOf(parts);
     excludedEndpoints = Set.copyOf(excludedEndpoints);
@@ -37,7 +37,7 @@
     return parts.subList(0, Math.max(0, parts.size() - 1));
   }
 
-  /** Returns a key that requests with the same shared parts (all but the last) have in common. */
+  /** Returns a key that is equal for requests with the same shared parts. */
   public String sharedKey() {
     return keyOf(sharedParts());
   }
@@ -51,7 +51,7 @@
     return key.toString();
   }
 
-  /** Returns the length of what the prompt shares with others: all parts but the last. */
+  /** Returns the number of tokens that the prompt shares with others: all parts but the last. */
   public long sharedTokens() {
     long shared = 0;
     for (PromptPart part : sharedParts()) {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placer.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placer.java
@@ -14,96 +14,116 @@
 import org.lacewingcroft.route.ServiceSpec;
 
 /**
- * Decides where a request goes: to the endpoint of this region from which its first byte is
- * expected soonest, to another region if that is clearly sooner, or back to its caller at once if
- * it would wait too long everywhere.
+ * Decides where a request goes: to the endpoint of this region with the lowest estimated time to
+ * the first byte, to another region if that is clearly faster, or back to its caller at once if the
+ * wait would be too long everywhere.
  *
- * <p>The load this answers is a region's peak: prompts arrive faster than its engines read them.
- * Admitting all of them makes every answer late, so the wait is bounded by the callers' objective,
- * and the overflow goes to regions whose peak is at another hour before it is refused.
+ * <p>Designed for a region's peak: prompts arrive faster than its engines can prefill them.
+ * Admitting all of them would make every response late, so the wait is bounded by the callers'
+ * latency objective, and overflow is sent to regions whose peak is at another hour before it is
+ * refused.
  *
  * @param coldSenders how many entries of a region may send to one cold endpoint, so that together
- *     they keep its bound
- * @param random spreads the overflow
+ *     they stay within its limit
+ * @param random decides which overflow is sent to another region
  */
 public record Placer(int coldSenders, RandomGenerator random) {
-  /** Round trip to another region plus the relaying entry's work, in ms. */
+  /** Round trip to another region plus the processing time of the relaying entry. */
   static final double REGION_MILLIS = 130;
 
-  /** How much sooner another region must be expected to answer, in ms: estimates are stale. */
+  /**
+   * Advantage that another region's estimate must have to be preferred: such estimates are stale.
+   */
   static final double REGION_MARGIN_MILLIS = 120;
 
-  /** What a recent failure of an endpoint counts, in ms of expected wait. */
+  /** Penalty for each recent failure of an endpoint. */
   private static final double FAILURE_MILLIS = 400;
 
-  /** What an endpoint other than the first in rendezvous order counts, in ms: ties go there. */
+  /**
+   * Penalty for endpoints other than the first in rendezvous order, so that ties go to the first.
+   */
   private static final double RANK_MILLIS = 4;
 
   /**
-   * How much more the reading of a shared prefix counts that another endpoint holds, besides its
-   * time: it also drives other prefixes out of the cache.
+   * Weight, on top of the time itself, of prefilling shared prefix tokens that another endpoint
+   * already caches: it also evicts other prefixes from the cache.
    */
   private static final double READ_AGAIN_FACTOR = 8;
 
   /**
-   * What a fetched token counts against one read: it loads both endpoints' links and takes the same
-   * room in the cache, but costs no reading time.
+   * Weight of a fetched token relative to a prefilled one: a fetch loads both endpoints' links and
+   * takes the same space in the cache, but no prefill time.
    */
   private static final double FETCH_FACTOR = 0.7;
 
-  /** Tokens that are not worth a fetch: setting one up takes as long as reading them. */
+  /**
+   * Minimum number of tokens to fetch: for fewer, setting up the fetch takes as long as the
+   * prefill.
+   */
   private static final long LEAST_FETCH_TOKENS = 400;
 
-  /** How many times as long as its transfer the reading of a prefix must take to be fetched. */
+  /** Minimum ratio of the prefill time to the transfer time for which a prefix is fetched. */
   private static final double LEAST_FETCH_GAIN = 2;
 
-  /** Share of the objective up to which a first byte is expected to be in time after all. */
+  /**
+   * Share of the objective up to which an estimated time to the first byte is expected to be on
+   * time despite estimation errors.
+   */
   private static final double SAFE_SHARE = 0.5;
 
   /**
-   * How much more each ms beyond that counts: a late answer is worth less than a re-read prefix.
+   * Additional weight of each ms beyond that share: a late response is worse than a prefix that is
+   * prefilled again.
    */
   private static final double LATENESS_FACTOR = 2;
 
-  /** Share of the objective that a request with a long prompt of its own may wait at least. */
+  /** Minimum share of the objective that a request may wait, even if its prompt is long. */
   private static final double LEAST_PATIENCE = 0.2;
 
   /**
-   * Share of the objective kept for what is not foretold: urgent requests that come later, steps of
-   * other requests, the network.
+   * Share of the objective reserved for delays that cannot be estimated: urgent requests that
+   * arrive later, batch steps of other requests, the network.
    */
   private static final double RESERVE_SHARE = 0.35;
 
-  /** Share of the remaining time that a plain service's request may wait. */
+  /** Share of the remaining time that a request to a plain service may wait. */
   private static final double PLAIN_SHARE = 0.3;
 
-  /** Share of overflow sent on while both regions would do: entries decide on equal stale news. */
+  /**
+   * Share of the overflow sent to another region while both regions meet the objective: all entries
+   * decide on the same stale reports.
+   */
   private static final double OVERFLOW_SHARE = 0.6;
 
-  /** Share of a shared prefix that another region is taken to hold: its own callers use it too. */
+  /**
+   * Share of a shared prefix assumed to be cached in another region, whose own callers use it too.
+   */
   private static final double SHARED_HELD_ELSEWHERE = 0.5;
 
-  /** The same where engines fetch from each other what they lack. */
+  /**
+   * Share of a shared prefix assumed to be cached or fetchable in another region if engines fetch
+   * missing KV cache from each other.
+   */
   private static final double SHARED_FETCHED_ELSEWHERE = 0.95;
 
-  /** The least pause told to a refused caller. */
+  /** Minimum retry delay returned to a refused caller. */
   private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(300);
 
-  /** Share of the remaining time that callers honour as a pause at most. */
+  /** Callers honour a retry delay of at most the remaining time divided by this. */
   private static final int RETRY_AFTER_DIVISOR = 3;
 
   /**
-   * What the placement depends on besides the request.
+   * The inputs of a placement besides the request.
    *
    * @param endpoints the service's endpoints in this region that are not evacuated
    * @param entry this entry's name
    * @param regionEntries the names of this region's entries
-   * @param maxInFlightPerEndpoint requests that this entry may have in flight at one endpoint
-   * @param regions the other regions' load; empty if the request must stay here
+   * @param maxInFlightPerEndpoint limit of this entry's requests in flight at one endpoint
+   * @param regions the other regions' load; empty if the request must stay in this region
    * @param allowedRegions regions that may run the request; empty for any
-   * @param excludedRegions regions not to be tried again
+   * @param excludedRegions regions that must not be tried again
    * @param region this region
-   * @param prefixHolders the service's endpoints anywhere from which KV cache may be fetched
+   * @param prefixHolders the service's endpoints in any region from which KV cache may be fetched
    * @param engine the service's engine; empty for a plain service
    * @param disabledMechanisms mechanisms that are not used
    */
@@ -124,7 +144,7 @@
     }
   }
 
-  /** An endpoint and how many leading tokens of the prompt others may fetch from it. */
+  /** An endpoint and the number of leading prompt tokens that others may fetch from it. */
   private record Holder(EndpointTracker endpoint, long tokens) {}
 
   private record Scored(
@@ -168,7 +188,8 @@
   }
 
   /**
-   * The expected first byte of a request sent elsewhere, which reads all that it does not share.
+   * Returns the estimated time to the first byte of a request sent to another region, which
+   * prefills all prompt tokens that it does not find in a cache.
    */
   private static double firstByteElsewhere(
       RegionLoads.Offer offer, PlacementRequest request, Context around) {
@@ -188,10 +209,11 @@
   }
 
   /**
-   * The wait a request bears. One with a prompt shall have its first byte in time; if its own
-   * reading exceeds the objective by itself, it bears a part of it all the same, so that it is
-   * served. A plain service's requests are short and a late answer harms no other, so they wait for
-   * as long as an answer still reaches their callers.
+   * Returns the longest wait with which a request is accepted. A request with a prompt must get its
+   * first byte within the objective; if its own prefill alone exceeds the objective, it may still
+   * wait for a part of it, so that it is served. Requests to a plain service are short and a late
+   * response delays no other request, so they may wait for as long as a response still reaches
+   * their callers.
    */
   private static double patienceMillis(PlacementRequest request, double readMillis) {
     double objective = request.firstByteObjective().toMillis();
@@ -248,7 +270,10 @@
     return new Placement.Refused(Placement.Reason.OVERLOADED, bounded(until, request), evidence);
   }
 
-  /** The time until an endpoint takes a request again that only states conditions. */
+  /**
+   * Returns the shortest time until an endpoint that is limited only by its advertised conditions
+   * accepts a request again.
+   */
   private static Optional<Duration> pauseHere(
       PlacementRequest request, Context around, Instant now) {
     return around.endpoints().stream()
@@ -314,7 +339,10 @@
     return new Scored(e, readMillis, millis, score, fetch);
   }
 
-  /** The endpoints that hold a beginning of the prompt worth a fetch, asked once a request. */
+  /**
+   * Returns the endpoints that cache a prefix of the prompt long enough to fetch. Computed once per
+   * request.
+   */
   private static List<Holder> holders(PlacementRequest request, Context around) {
     if (request.sharedTokens() < LEAST_FETCH_TOKENS || !fetches(around)) {
       return List.of();
@@ -326,7 +354,9 @@
         .toList();
   }
 
-  /** The endpoint with the longest beginning of the prompt beyond what the target holds itself. */
+  /**
+   * Returns the fetch of the longest prefix of the prompt beyond what the target caches itself.
+   */
   private static Optional<Placement.PrefixFetch> fetch(
       EndpointTracker target,
       long sharedUncached,
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PrefixMemory.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PrefixMemory.java
@@ -6,18 +6,18 @@
 import java.util.Map;
 
 /**
- * Which parts of prompts an endpoint is believed to hold in its KV cache, from what was sent there:
- * a part counts if all parts before it are held too, and the least recently used yield once they
- * exceed the capacity.
+ * Estimates which parts of prompts an endpoint holds in its KV cache, from the prompts sent to it.
+ * A part counts only if all parts before it are cached too; the least recently used parts are
+ * evicted once they exceed the capacity.
  */
 final class PrefixMemory {
-  /** Share of the KV cache counted on for prefixes: running requests need the rest. */
+  /** Share of the KV cache available for prefixes; running requests need the rest. */
   private static final double USABLE_SHARE = 0.6;
 
   private final Map<String, Long> tokensByPart = new LinkedHashMap<>(64, 0.75f, true);
   private long heldTokens;
 
-  /** Returns how many of the prompt's leading tokens are believed to be held. */
+  /** Returns the estimated number of the prompt's leading tokens that are cached. */
   long heldTokensOf(List<PromptPart> parts) {
     long held = 0;
     for (PromptPart part : parts) {
@@ -29,7 +29,7 @@
     return held;
   }
 
-  /** Notes that a prompt was read there. */
+  /** Records that the endpoint prefills a prompt. */
   void read(List<PromptPart> parts, long capacityTokens) {
     for (PromptPart part : parts) {
       Long before = tokensByPart.put(part.id(), part.tokens());
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/ReadingQueue.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/ReadingQueue.java
@@ -8,29 +8,33 @@
 import java.util.Map;
 
 /**
- * The prompts that an engine has been sent and has not read yet, those of other entries included as
- * far as they told of them.
+ * The prompts sent to an engine that it has not prefilled yet, including those that other entries
+ * report.
  *
- * <p>An engine reads one prompt at a time, to its end, and takes the most urgent of those that wait
- * next. So an urgent request waits for all as urgent ones and also for the rest of the one being
- * read, however little urgent that is: a short question behind a review of 30,000 tokens waits for
- * a third of a second. Against the first bytes of a day's 1,429 questions, a model without that
- * rest correlates with 0.37, one with it with 0.87.
+ * <p>An engine prefills one prompt at a time to its end, and then continues with the most urgent of
+ * those that wait. So an urgent request waits for all prompts of at least the same urgency and for
+ * the remainder of the prompt in progress, however low its priority: a short prompt behind one of
+ * 30,000 tokens waits for a third of a second. Over a day's 1,429 short requests, the times to the
+ * first byte correlate at 0.37 with a model without that remainder and at 0.87 with one that
+ * includes it.
  *
- * <p>Not thread-safe: owned by the entry's event loop.
+ * <p>Not thread-safe: confined to the entry's event loop thread.
  */
 final class ReadingQueue {
-  /** After this long another entry's report says nothing about the present any more. */
+  /** Age after which another entry's report is ignored as outdated. */
   static final Duration PEER_REPORT_VALID = Duration.ofMillis(1_500);
 
-  /** Share of a prompt that counts as unread until its first byte, however long ago it began. */
+  /**
+   * Share of a prompt that counts as remaining until its first byte, however long ago its prefill
+   * began.
+   */
   private static final double LEAST_REST = 0.1;
 
   /**
-   * One prompt.
+   * A prompt that has not been prefilled yet.
    *
    * @param priority its priority, 0 the most urgent
-   * @param tokens how many tokens the engine has to read
+   * @param tokens the number of tokens that the engine has to prefill
    * @param sentAt when it was sent
    */
   record Unread(int priority, long tokens, Instant sentAt) {}
@@ -46,14 +50,14 @@
     own.add(prompt);
   }
 
-  /** Notes that a prompt has been read: its first byte is here. */
+  /** Removes a prompt that has been prefilled, as shown by the first byte of its response. */
   void read(Unread prompt, Instant now) {
     if (own.remove(prompt)) {
       lastReadAt = now;
     }
   }
 
-  /** Takes out a prompt that will not be read. */
+  /** Removes a prompt that will not be prefilled. */
   void drop(Unread prompt) {
     own.remove(prompt);
   }
@@ -63,7 +67,7 @@
     return List.copyOf(own);
   }
 
-  /** Takes another entry's report in place of its last one. */
+  /** Replaces the prompts that another entry last reported. */
   void heard(String entry, List<Unread> prompts, Instant now) {
     if (prompts.isEmpty()) {
       peers.remove(entry);
@@ -73,9 +77,10 @@
   }
 
   /**
-   * Returns how many tokens are read before a request of a priority that is sent now.
+   * Returns the number of tokens that are prefilled before a request of a priority that is sent
+   * now.
    *
-   * @param tokensPerMilli the engine's reading speed
+   * @param tokensPerMilli the engine's prefill speed
    */
   double tokensAhead(int priority, double tokensPerMilli, Instant now) {
     List<List<Unread>> waiting = waiting(now);
@@ -116,9 +121,10 @@
   }
 
   /**
-   * The most urgent of the prompts that waited when the engine became free.
+   * Returns the most urgent of the prompts that waited when the engine became free.
    *
-   * @param oldest the prompt sent first, which waited then
+   * @param freeAt when the engine became free
+   * @param oldest the prompt sent first, which was already waiting then
    */
   private static Unread beingRead(List<List<Unread>> waiting, Instant free, Unread oldest) {
     Unread reading = oldest;
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/RegionLoads.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/RegionLoads.java
@@ -9,22 +9,23 @@
 import org.lacewingcroft.fleet.FleetMessage.ServiceLoad;
 
 /**
- * How loaded the services of other regions are, as their entries tell, corrected by what this entry
- * has sent there since.
+ * The load of the services of other regions, as their entries report it, corrected by what this
+ * entry has sent there since.
  *
- * <p>Not thread-safe: owned by the entry's event loop.
+ * <p>Not thread-safe: confined to the entry's event loop thread.
  */
 public final class RegionLoads {
   /**
-   * A region not heard of for this long is taken to be out of reach: it tells its load twice a
-   * second, and a request relayed into a cut waits for its whole silence.
+   * Age of a region's last report after which the region is assumed to be unreachable: a region
+   * reports its load twice a second, and a request relayed to a disconnected region waits until it
+   * times out.
    */
   private static final Duration VALID = Duration.ofMillis(1_300);
 
-  /** After a relay failed to reach a region, how long no other is tried there. */
+  /** How long no request is relayed to a region after a relay failed to reach it. */
   private static final Duration FAILED_PAUSE = Duration.ofMillis(1_500);
 
-  /** Reading speed assumed for another region's endpoints, in tokens a millisecond. */
+  /** Prefill speed assumed for another region's endpoints. */
   static final double ASSUMED_TOKENS_PER_MILLI = 60;
 
   private record Heard(ServiceLoad load, Instant at) {}
@@ -36,11 +37,11 @@
   private final Map<String, Instant> failedAt = new HashMap<>();
 
   /**
-   * A region that can take a request.
+   * A region that can run a request.
    *
    * @param region the region
-   * @param waitMillis the wait expected there
-   * @param tokenMillis how long each token of an answer takes there
+   * @param waitMillis the estimated wait there
+   * @param tokenMillis the estimated time per output token there
    */
   public record Offer(String region, double waitMillis, double tokenMillis) {
     private double answeredMillis(PlacementRequest request) {
@@ -48,7 +49,7 @@
     }
   }
 
-  /** Takes a region's report. */
+  /** Replaces a region's last report for a service. */
   public void update(String region, ServiceLoad load, Instant now) {
     Key key = new Key(region, load.service());
     heard.put(key, new Heard(load, now));
@@ -56,29 +57,29 @@
   }
 
   /**
-   * Notes a request relayed to a region. All entries of this region decide by the same news, and
-   * what one of them sends, the others send about as often: counting its own only, each of four
-   * fills the whole room that is told of.
+   * Records a request relayed to a region. All entries of this region decide on the same reports,
+   * so when one entry relays a request the others relay about as many. If each of four entries
+   * counted only its own relays, each would fill the whole reported capacity.
    *
-   * @param senders how many entries this region has
+   * @param senders the number of entries of this region
    */
   public void recordRelayed(String region, PlacementRequest request, int senders) {
     long tokens = request.promptTokens() * Math.max(1, senders);
     sentTokens.merge(new Key(region, request.service()), tokens, Long::sum);
   }
 
-  /** Notes that a region could not be reached. */
+  /** Records that a region could not be reached. */
   public void recordUnreachable(String region, Instant now) {
     failedAt.put(region, now);
   }
 
-  /** Returns whether a region has endpoints of a service that take work, as far as is known. */
+  /** Returns whether a region is known to have endpoints of a service that accept requests. */
   public boolean serves(String region, String service, Instant now) {
     Heard h = heard.get(new Key(region, service));
     return h != null && h.load.endpoints() > 0 && h.at.plus(VALID).isAfter(now);
   }
 
-  /** Returns the allowed region with the soonest answer, if any can be reached. */
+  /** Returns the allowed region with the lowest estimated response time, if any is reachable. */
   public Optional<Offer> best(
       PlacementRequest request, Set<String> allowed, Set<String> excluded, Instant now) {
     Optional<Offer> best = Optional.empty();
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/TokenPace.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/TokenPace.java
@@ -4,27 +4,31 @@
 import java.time.Instant;
 
 /**
- * How slowly an engine produces the tokens of one answer, measured from the pauses between events.
+ * Estimates an engine's time per output token from the intervals between the events of its
+ * responses.
  *
- * <p>An engine that reads prompts gives the streams it already feeds one token for each chunk it
- * reads, so an answer that takes 8 ms a token on an idle engine takes 60 ms on one that reads all
- * the time, and a long one misses its deadline although its first event was early. The load this
- * answers is a peak in one region while another is at its trough: by their first bytes both would
- * do.
+ * <p>While an engine prefills prompts, each of its streams gets one token per prefill chunk. A
+ * response that takes 8 ms per token on an idle engine takes 60 ms per token on one that prefills
+ * all the time, and a long response then misses its deadline although its first event was early.
+ * Designed for a peak in one region while another is at its trough: by the time to the first byte
+ * alone, both would be acceptable.
  *
- * <p>Not thread-safe: owned by the entry's event loop.
+ * <p>Not thread-safe: confined to the entry's event loop thread.
  */
 final class TokenPace {
-  /** Pace assumed until measured, in ms a token: a large model's step with a few streams. */
+  /** Time per output token assumed without samples: a large model's step with a few streams. */
   static final double INITIAL_MILLIS = 10;
 
-  /** Time in which a sample loses half of its weight: an engine's load changes within a second. */
+  /** Time after which a sample has half its weight: an engine's load changes within a second. */
   private static final double HALF_LIFE_MILLIS = 500;
 
-  /** Weight, in tokens, of the belief that an engine without samples is idle. */
+  /** Weight, in tokens, of the assumption that an engine without samples is idle. */
   private static final double IDLE_WEIGHT = 4;
 
-  /** A pause longer than this says something of the stream's way, not of the engine's pace. */
+  /**
+   * Upper bound of a sampled interval: longer ones are caused by the transport of the stream, not
+   * by the engine.
+   */
   private static final double LONGEST_PAUSE_MILLIS = 2_000;
 
   private double millis;
@@ -32,10 +36,10 @@
   private Instant at = Instant.EPOCH;
 
   /**
-   * Takes a sample.
+   * Adds a sample.
    *
-   * @param pause between two events of one answer, or two groups of them
-   * @param newTokens the tokens that came after it
+   * @param interval the time between two events, or two groups of events, of one response
+   * @param newTokens the number of tokens received at its end
    */
   void sample(Duration pause, long newTokens, Instant now) {
     double kept = kept(now);
@@ -44,7 +48,7 @@
     at = now;
   }
 
-  /** Returns the pace in ms a token. */
+  /** Returns the estimated time per output token, in ms. */
   double millisPerToken(Instant now) {
     double kept = kept(now);
     return (millis * kept + IDLE_WEIGHT * INITIAL_MILLIS) / (tokens * kept + IDLE_WEIGHT);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/TrackedEndpoints.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/TrackedEndpoints.java
@@ -17,13 +17,16 @@
 import org.lacewingcroft.misc.BoundedMap;
 
 /**
- * The endpoints that an entry knows: their records, as the control instances tell of them, and a
- * tracker for each incarnation.
+ * The endpoints known to an entry: their records, as the control instances report them, and a
+ * tracker for the newest incarnation of each.
  *
- * <p>Not thread-safe: owned by the entry's event loop.
+ * <p>Not thread-safe: confined to the entry's event loop thread.
  */
 public final class TrackedEndpoints {
-  /** A record younger than this may be missing in another control instance's whole roster. */
+  /**
+   * Age up to which a record may be missing from another control instance's complete roster,
+   * because control instances receive announcements of new endpoints at different times.
+   */
   private static final Duration ROSTER_SPREAD = Duration.ofSeconds(3);
 
   private static final int CONDITIONS_KEPT = 4_096;
@@ -32,35 +35,39 @@
   private final Map<String, EndpointTracker> trackers = new TreeMap<>();
   private final Map<String, Instant> knownSince = new HashMap<>();
 
-  /** By incarnation, those of endpoints included that the control instances have forgotten. */
+  /**
+   * Advertised conditions by incarnation. They outlast the records: the control instances may
+   * remove an endpoint from their roster and later report the same incarnation again.
+   */
   private final Map<String, AdvertisedConditions> conditions =
       BoundedMap.evictingLeastRecentlyUsed(CONDITIONS_KEPT);
 
   private final Listener listener;
 
-  /** Hears what changes. */
+  /** Receives changes of the endpoints. */
   public interface Listener {
     /**
-     * Others must know of a change: a new endpoint, another state, one that turned cold.
+     * Called on a change that other components need: a new endpoint, another state, or an endpoint
+     * that has become cold.
      *
-     * @param record what is believed now
-     * @param cause the instance that told of it
+     * @param record the endpoint's current record
+     * @param cause the instance that reported the change
      */
     void changed(EndpointRecord record, String cause);
 
-    /** An endpoint is lost, or another incarnation is there under its id. */
+    /** Called when an endpoint is lost or another incarnation has replaced it under its id. */
     void incarnationLost(EndpointTracker endpoint);
 
-    /** An endpoint that was lost is back as the same incarnation. */
+    /** Called when an endpoint that was lost is ready again as the same incarnation. */
     void incarnationReturned(EndpointRecord record);
   }
 
-  /** Creates it knowing no endpoint. */
+  /** Creates an empty set of endpoints. */
   public TrackedEndpoints(Listener listener) {
     this.listener = listener;
   }
 
-  /** Takes records that a control instance tells. */
+  /** Applies records that a control instance reports. */
   public void update(FleetMessage.RosterUpdate update, Instant now) {
     Set<String> named = new HashSet<>();
     for (EndpointRecord record : update.records()) {
@@ -83,8 +90,9 @@
   }
 
   /**
-   * A whole roster does not name an endpoint. One that was lost before is forgotten: as long as it
-   * is kept the digests differ, and the whole roster is told again and again.
+   * Handles an endpoint that a complete roster does not contain. One that is already lost is
+   * removed: as long as it is kept, the digests differ and the complete roster is sent again and
+   * again.
    */
   private void missing(EndpointRecord record, String from, Instant now) {
     switch (record.state()) {
@@ -101,8 +109,9 @@
   }
 
   /**
-   * Takes a record. A later incarnation gets a tracker of its own: it holds no prompts and nothing
-   * in flight of the one before, whose requests end on the old tracker.
+   * Applies a record. A later incarnation gets a new tracker, because none of its predecessor's
+   * cached prompts and requests in flight apply to it. The predecessor's requests end on the old
+   * tracker.
    */
   private void take(EndpointRecord record, String from, Instant now) {
     final Optional<EndpointRecord> changed = roster.merge(record, now);
@@ -145,12 +154,17 @@
     return Collections.unmodifiableCollection(trackers.values());
   }
 
-  /** Returns the digest by which a control instance finds out whether this entry missed news. */
+  /**
+   * Returns the digest by which a control instance detects that this entry has missed an update.
+   */
   public int digest() {
     return roster.digest();
   }
 
-  /** Returns how many records are kept, those of endpoints included that have left or are lost. */
+  /**
+   * Returns the number of stored records, including those of endpoints that have shut down or are
+   * lost.
+   */
   public int size() {
     return roster.size();
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/stream/EventSplitter.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/stream/EventSplitter.java
@@ -6,10 +6,11 @@
 import java.util.OptionalLong;
 
 /**
- * Cuts an event stream into whole events, so that only whole ones are passed on: an event broken
- * off in the middle can then be made again elsewhere, after the last one that the caller has.
+ * Splits an event stream into events, so that only complete events are forwarded: an event that is
+ * cut off can then be generated again by another endpoint, starting after the last event that the
+ * caller received.
  *
- * <p>An event ends with an empty line; its id stands in a line {@code id: N}.
+ * <p>An event ends with an empty line; its id is in a line {@code id: N}.
  */
 public final class EventSplitter {
   private static final String ID_FIELD = "id:";
@@ -22,16 +23,16 @@
   /**
    * Creates a splitter.
    *
-   * @param lastId the id of the last event passed on so far; events up to it are dropped
+   * @param lastId the id of the last event forwarded so far; events up to it are dropped
    */
   public EventSplitter(OptionalLong lastId) {
     this.lastId = lastId;
   }
 
   /**
-   * Takes bytes of the stream.
+   * Appends bytes of the stream.
    *
-   * @return the bytes of the events that are complete now and not known yet, possibly none
+   * @return the bytes of the events that are now complete and not yet forwarded, possibly none
    */
   public byte[] append(byte[] bytes) {
     pending.reset();
@@ -74,12 +75,12 @@
     }
   }
 
-  /** Returns the id of the last event passed on. */
+  /** Returns the id of the last event forwarded. */
   public OptionalLong lastId() {
     return lastId;
   }
 
-  /** Returns the bytes behind the last whole event. */
+  /** Returns the bytes after the last complete event. */
   public byte[] incompleteEvent() {
     return event.toByteArray();
   }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/ExtraSendBudgetTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/ExtraSendBudgetTest.java
@@ -8,7 +8,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** However hard all entries press, their extra sends together stay within the shared budget. */
+/**
+ * The extra sends of all entries together stay within the shared budget, however many they attempt.
+ */
 class ExtraSendBudgetTest {
   @ParameterizedTest
   @CsvSource({"1, 20, 58", "9, 5, 58", "9, 0, 58", "64, 2, 168"})
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/KeepAlivePolicyTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/KeepAlivePolicyTest.java
@@ -11,14 +11,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** For how long a connection to the endpoint "a" may rest, after resets here and there. */
+/**
+ * How long a connection to the endpoint "a" may be idle, after resets at it and at other endpoints.
+ */
 class KeepAlivePolicyTest {
   private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
 
-  /** A reset at the start: the endpoint and how long its connection had rested. */
+  /** A reset at the start: the endpoint's address and how long its connection had been idle. */
   record Reset(String address, long restedMillis) {}
 
-  /** A row: resets, the time that "a" states in seconds (0 for none), the time of the question. */
+  /**
+   * A test case: the resets, the timeout that "a" advertises in seconds (0 for none), the time
+   * after the start, and the expected timeout then.
+   */
   record Row(
       String name, List<Reset> resets, int statedSeconds, long laterMillis, long keepMillis) {
     @Override
@@ -32,13 +37,13 @@
     List<Reset> elsewhere = List.of(new Reset("b", 300));
     List<Reset> two = List.of(new Reset("b", 300), new Reset("c", 300));
     return Stream.of(
-        new Row("nothing stated", List.of(), 0, 0, 4_000),
+        new Row("no timeout advertised", List.of(), 0, 0, 4_000),
         new Row("stated", List.of(), 10, 0, 9_000),
-        new Row("stated short", List.of(), 1, 0, 400),
-        new Row("dropped early here", here, 10, 100, 200),
-        new Row("dropped early at one other", elsewhere, 10, 100, 9_000),
-        new Row("dropped early at two others", two, 10, 100, 200),
-        new Row("a crash, not a drop", List.of(new Reset("a", 100)), 10, 100, 9_000),
+        new Row("short advertised timeout", List.of(), 1, 0, 400),
+        new Row("early close at this endpoint", here, 10, 100, 200),
+        new Row("early close at one other endpoint", elsewhere, 10, 100, 9_000),
+        new Row("early closes at two other endpoints", two, 10, 100, 200),
+        new Row("reset of a recently used connection", List.of(new Reset("a", 100)), 10, 100, 9_000),
         new Row("forgotten", here, 10, 20_000, 9_000));
   }
 
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/LoadReplay.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/LoadReplay.java
@@ -19,19 +19,22 @@
 import org.lacewingcroft.route.ServiceSpec;
 
 /**
- * Replays a region's load through {@link Placer} against engines that read prompts one after the
- * other, the most urgent first, and keep the prefixes they have read for as long as they fit. Time
- * is simulated; equal seeds give equal results.
+ * Replays a region's load through {@link Placer} against simulated engines that prefill prompts one
+ * after the other, the most urgent first, and cache the prefixes for as long as they fit. Time is
+ * simulated; equal seeds give equal results.
  */
 final class LoadReplay {
   static final double TOKENS_PER_MILLI = 85;
   private static final long KV_TOKENS = 470_000;
   private static final String SERVICE = "engine";
 
-  /** Requests that arrive together. */
+  /** Number of requests that arrive together. */
   private static final int CLUMP = 3;
 
-  /** How often entries tell each other their work, and the prompts that they tell of at once. */
+  /**
+   * Interval at which entries report their load to each other; prompts of at least {@link
+   * #LONG_PROMPT_TOKENS} are reported at once.
+   */
   private static final int REPORT_MILLIS = 120;
 
   private static final long LONG_PROMPT_TOKENS = 5_000;
@@ -49,7 +52,7 @@
       Duration objective,
       Duration deadline) {}
 
-  /** What became of the requests of one kind. */
+  /** The results of the requests of one kind. */
   static final class Tally {
     int asked;
     int onTime;
@@ -63,8 +66,8 @@
     }
 
     /**
-     * The worth of the outcomes to the callers, against all on time: a late answer is worth 0.3,
-     * and coming back in vain costs as much.
+     * Returns the value of the results to the callers, relative to all on time: a late response
+     * counts 0.3, and a request refused twice counts minus 0.3.
      */
     double worth() {
       return (onTime + 0.3 * late - 0.3 * refused) / asked;
@@ -90,7 +93,7 @@
       Instant arrivedAt,
       boolean large) {}
 
-  /** A refused request whose caller comes back. */
+  /** An attempt to place a request: the first one, or the retry after a refusal. */
   private record Returning(Kind kind, PlacementRequest request, Instant firstAt, boolean large) {}
 
   private static final class Engine {
@@ -113,7 +116,10 @@
     this(engineCount, 1, seed);
   }
 
-  /** Spreads the callers over so many entries, which tell each other their work now and then. */
+  /**
+   * Creates a replay whose callers are distributed over several entries, which report their load to
+   * each other at intervals.
+   */
   LoadReplay(int engineCount, int entryCount, long seed) {
     this.entryCount = entryCount;
     random = new Random(seed);
@@ -123,15 +129,15 @@
     }
   }
 
-  /** Lets engines fetch prefixes from each other. */
+  /** Enables fetches of prefixes between the engines. */
   LoadReplay withFetches() {
     engine = Optional.of(new ServiceSpec.Engine(32, KV_TOKENS, 9, 327_680, 1_500_000));
     return this;
   }
 
   /**
-   * Adds engines of a neighbouring region, which get no work here and hold all that requests of a
-   * kind share.
+   * Adds engines of a neighbouring region, which get no requests and cache all shared parts of the
+   * requests of a kind.
    */
   LoadReplay withNeighbours(Kind kind, int count) {
     for (int n = 0; n < count; n++) {
@@ -157,7 +163,7 @@
     return new PromptPart(kind.name() + subject, kind.sharedTokens());
   }
 
-  /** Runs a trace of these kinds, arriving at random at their rates. */
+  /** Runs a trace of these kinds, which arrive at random at their rates. */
   Map<String, Tally> run(List<Kind> kinds, Duration length) {
     kinds.forEach(k -> tallies.put(k.name(), new Tally()));
     for (long ms = 0; ms < length.toMillis(); ms++) {
@@ -190,7 +196,10 @@
     }
   }
 
-  /** Returns the tokens of shared parts that an engine read although another had them. */
+  /**
+   * Returns the number of tokens of shared parts that an engine prefilled although another engine
+   * had cached them.
+   */
   long sharedTokensReadAgain() {
     return sharedTokensReadAgain;
   }
@@ -198,7 +207,7 @@
   private void arrive(Kind kind, Instant now) {
     Tally tally = tallies.get(kind.name());
     tally.asked++;
-    // Log-normal with the mean asked for: the largest tenth is about three times as long or more.
+    // Log-normal with the given mean: the largest tenth is at least about three times as long.
     double spread = 1.0;
     long own =
         Math.round(
@@ -226,7 +235,7 @@
                     .add(new Returning(kind, request, now, large)));
   }
 
-  /** A refused caller tries once more, with what is left of its deadline. */
+  /** Retries a refused request once, with the time left until its deadline. */
   private void comeBack(Returning r, Instant now) {
     PlacementRequest before = r.request();
     PlacementRequest again =
@@ -244,7 +253,7 @@
     }
   }
 
-  /** Places a request; returns the pause that its caller is told if it is refused. */
+  /** Places a request and returns the retry delay if it is refused. */
   private Optional<Duration> place(Returning arrival, Instant now) {
     int entry = entryCount == 1 ? 0 : random.nextInt(entryCount);
     Placer.Context around =
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerLoadTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerLoadTest.java
@@ -12,18 +12,18 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Placement under a region's load: long reviews that share long prefixes beside short urgent
- * questions, at the rates of a day's trough, peak and overload. Requests come in clumps, and
- * callers that were refused come back once. Several entries know of each other's prompts as they
- * tell of them: at once of long ones, of the others with a lag.
+ * Placement under a region's load: long reviews that share long prefixes alongside short urgent
+ * questions, at the rates of a day's trough, peak and overload. Requests arrive in bursts, and
+ * refused callers retry once. Several entries exchange reports of their prompts: long ones are
+ * reported at once, the others with a delay.
  */
 class PlacerLoadTest {
-  /** What a review is worth to its caller against a question. */
+  /** Value of an on-time review to its caller, relative to a question. */
   private static final double REVIEW_WORTH = 3.7;
 
   private static final Duration LENGTH = Duration.ofSeconds(60);
 
-  /** A row: load against three engines, and what must come of it. */
+  /** A test case: the load on three engines, and the bounds of the result. */
   record Row(
       String name,
       int entries,
@@ -52,7 +52,7 @@
         new Row("four entries, overload", 4, 0, 1.6, 0.98, 0.62, 0.02, 1_250_000, 0.79));
   }
 
-  /** Long schedules that share few long contracts. */
+  /** Schedules: long prompts that share a small number of long contracts. */
   private static LoadReplay.Kind schedules(double factor) {
     return new LoadReplay.Kind(
         "schedule",
@@ -70,7 +70,10 @@
         "query", 45 * factor, 0, 92, 960, 291, Duration.ofSeconds(2), Duration.ofSeconds(5));
   }
 
-  /** A row: the load, and the most that may still be read again, as a share of it all. */
+  /**
+   * A test case: the load, and the maximum of shared tokens prefilled again with fetches, as a
+   * share of those without.
+   */
   record NeighbourRow(double factor, double mostReadShare) {}
 
   static Stream<NeighbourRow> neighbourRows() {
@@ -82,8 +85,8 @@
   }
 
   /**
-   * A region whose callers ask for what a neighbouring region has read: after a failover, or on
-   * every day in regions of their own.
+   * The callers of a region send prompts whose prefixes a neighbouring region has prefilled: after
+   * a failover, or every day if the regions serve the same documents.
    */
   @ParameterizedTest
   @MethodSource("neighbourRows")
@@ -96,7 +99,7 @@
     final double onTime = with.run(kinds, LENGTH).get("schedule").onTimeShare();
     assertThat("on time", onTime, greaterThanOrEqualTo(onTimeWithout - 0.01));
     long most = Math.round(row.mostReadShare() * without.sharedTokensReadAgain());
-    assertThat("read again", with.sharedTokensReadAgain(), lessThanOrEqualTo(most));
+    assertThat("shared tokens prefilled again", with.sharedTokensReadAgain(), lessThanOrEqualTo(most));
   }
 
   @ParameterizedTest
@@ -106,12 +109,12 @@
     final Map<String, LoadReplay.Tally> tallies = run(replay, row);
     LoadReplay.Tally review = tallies.get("review");
     LoadReplay.Tally question = tallies.get("question");
-    assertThat("urgent on time", question.onTimeShare(), greaterThanOrEqualTo(row.urgentOnTime()));
+    assertThat("questions on time", question.onTimeShare(), greaterThanOrEqualTo(row.urgentOnTime()));
     assertThat("reviews on time", review.onTimeShare(), greaterThanOrEqualTo(row.reviewsOnTime()));
     double late = (double) (review.late + question.late) / (review.asked + question.asked);
     assertThat("late", late, lessThanOrEqualTo(row.lateMost()));
     assertThat(
-        "read again", replay.sharedTokensReadAgain(), lessThanOrEqualTo(row.readAgainMost()));
+        "shared tokens prefilled again", replay.sharedTokensReadAgain(), lessThanOrEqualTo(row.readAgainMost()));
     double worth =
         (REVIEW_WORTH * review.worth() * review.asked + question.worth() * question.asked)
             / (REVIEW_WORTH * review.asked + question.asked);
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerTest.java
@@ -20,11 +20,17 @@
 import org.lacewingcroft.fleet.FleetMessage.ServiceLoad;
 import org.lacewingcroft.misc.Rendezvous;
 
-/** Single decisions: what keeps an endpoint from getting work, and when a request leaves. */
+/**
+ * Single decisions: which conditions keep an endpoint from getting requests, and when a request is
+ * sent to another region.
+ */
 class PlacerTest {
   private static final Instant NOW = Instant.parse("2030-01-01T00:00:00Z");
 
-  /** A row: how the only endpoint here is, how the other region is, and where the request goes. */
+  /**
+   * A test case: the state of this region's only endpoint, the wait in the other region (-1 if it
+   * reports none), and the expected placement.
+   */
   record Row(
       String name,
       EndpointState state,
@@ -46,13 +52,13 @@
         new Row("idle", ready, 0, 0, anywhere, 2_000, "here"),
         new Row("short queue", ready, 8_000, 0, anywhere, 2_000, "here"),
         new Row("long queue", ready, 200_000, 0, anywhere, 2_000, "elsewhere"),
-        new Row("long everywhere", ready, 200_000, 5_000, anywhere, 2_000, "refused"),
-        new Row("may not leave", ready, 200_000, 0, Set.of("here"), 2_000, "refused"),
-        new Row("may not stay", ready, 0, 0, Set.of("there"), 2_000, "elsewhere"),
+        new Row("long queue in both regions", ready, 200_000, 5_000, anywhere, 2_000, "refused"),
+        new Row("only this region allowed", ready, 200_000, 0, Set.of("here"), 2_000, "refused"),
+        new Row("only the other region allowed", ready, 0, 0, Set.of("there"), 2_000, "elsewhere"),
         new Row("draining", EndpointState.DRAINING, 0, 0, anywhere, 2_000, "elsewhere"),
-        new Row("gone and nobody else", EndpointState.GONE, 0, -1, anywhere, 2_000, "refused"),
+        new Row("gone, no other region", EndpointState.GONE, 0, -1, anywhere, 2_000, "refused"),
         new Row("long prompt, idle", ready, 0, 0, anywhere, 54_000, "here"),
-        new Row("plain service far away", EndpointState.GONE, 0, 0, anywhere, 0, "elsewhere"));
+        new Row("plain service in the other region", EndpointState.GONE, 0, 0, anywhere, 0, "elsewhere"));
   }
 
   private static EndpointTracker tracker(String id, EndpointState state, long coldMillis) {
@@ -142,10 +148,13 @@
               mostInSecond,
               (int) sent.stream().filter(t -> t.isAfter(now.minusSeconds(1))).count());
     }
-    assertThat("three owners, one request a second each", mostInSecond, equalTo(3));
+    assertThat("three senders, one request a second each", mostInSecond, equalTo(3));
   }
 
-  /** A row: what the only endpoint here has stated, and what becomes of the next requests. */
+  /**
+   * A test case: what this region's only endpoint has advertised, and the expected placement of a
+   * request sent afterwards.
+   */
   record Stated(
       String name, Duration pause, OptionalDouble perSecond, long laterMillis, String goes) {
     @Override
@@ -161,11 +170,11 @@
     OptionalDouble two = OptionalDouble.of(2);
     return Stream.of(
         new Stated("nothing", none, any, 0, "here"),
-        new Stated("in the pause", pause, any, 2_999, "refused, back in 300 ms"),
-        new Stated("early in the pause", pause, any, 0, "refused, back in 1666 ms"),
+        new Stated("end of the pause", pause, any, 2_999, "refused, back in 300 ms"),
+        new Stated("start of the pause", pause, any, 0, "refused, back in 1666 ms"),
         new Stated("after the pause", pause, any, 3_000, "here"),
-        new Stated("beyond the rate", none, two, 500, "refused, back in 1500 ms"),
-        new Stated("within the rate", none, two, 2_000, "here"),
+        new Stated("rate exceeded", none, two, 500, "refused, back in 1500 ms"),
+        new Stated("rate not exceeded", none, two, 2_000, "here"),
         new Stated("both", pause, two, 2_500, "refused, back in 500 ms"));
   }
 
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PrefixFetchTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PrefixFetchTest.java
@@ -24,7 +24,7 @@
 import org.lacewingcroft.fleet.EndpointState;
 import org.lacewingcroft.route.ServiceSpec;
 
-/** From which endpoint the beginning of a prompt is fetched, and when it is read instead. */
+/** From which endpoint a prompt prefix is fetched, and when it is prefilled instead. */
 class PrefixFetchTest {
   private static final Instant NOW = Instant.parse("2030-01-01T00:00:00Z");
   private static final long KV_TOKENS = 345_000;
@@ -34,7 +34,8 @@
   private static final PromptPart NOTE = new PromptPart("note", 300);
 
   /**
-   * A row: the shared parts, who has read which of them, the link, and from whom what is fetched.
+   * A test case: the shared parts, which endpoints have prefilled which of them, the link speed,
+   * and the expected source and number of fetched tokens.
    */
   record Row(
       String name,
@@ -54,9 +55,9 @@
     List<PromptPart> whole = List.of(COMMON, CONTRACT);
     Set<PlacementMechanism> none = Set.of();
     return Stream.of(
-        new Row("nobody has it", whole, Map.of(), FAST_LINK_MBPS, none, "none", 0),
+        new Row("prefix cached nowhere", whole, Map.of(), FAST_LINK_MBPS, none, "none", 0),
         new Row(
-            "another region has it",
+            "prefix cached in another region",
             whole,
             Map.of("far", whole),
             FAST_LINK_MBPS,
@@ -64,7 +65,7 @@
             "far",
             13_000),
         new Row(
-            "the longer beginning is taken",
+            "longest cached prefix is fetched",
             whole,
             Map.of("far", whole, "near", List.of(COMMON)),
             FAST_LINK_MBPS,
@@ -72,7 +73,7 @@
             "far",
             13_000),
         new Row(
-            "the nearer of two equal ones",
+            "source in the same failure domain is preferred",
             whole,
             Map.of("far", whole, "near", whole),
             FAST_LINK_MBPS,
@@ -80,7 +81,7 @@
             "near",
             13_000),
         new Row(
-            "only what is missing",
+            "only missing tokens are fetched",
             whole,
             Map.of("far", whole, "target", List.of(COMMON)),
             FAST_LINK_MBPS,
@@ -88,7 +89,7 @@
             "far",
             11_000),
         new Row(
-            "a part whose beginning is not held is no use",
+            "part without the parts before it is not fetched",
             whole,
             Map.of("far", List.of(CONTRACT)),
             FAST_LINK_MBPS,
@@ -96,7 +97,7 @@
             "none",
             0),
         new Row(
-            "a short one is read",
+            "short prefix is prefilled",
             List.of(NOTE),
             Map.of("far", List.of(NOTE)),
             FAST_LINK_MBPS,
@@ -104,10 +105,10 @@
             "none",
             0),
         new Row(
-            "over a slow link it is read", whole, Map.of("far", whole), 20_000, none, "none", 0),
-        new Row("without links it is read", whole, Map.of("far", whole), 0, none, "none", 0),
+            "prefilled if the link is slow", whole, Map.of("far", whole), 20_000, none, "none", 0),
+        new Row("prefilled without a link", whole, Map.of("far", whole), 0, none, "none", 0),
         new Row(
-            "switched off",
+            "mechanism disabled",
             whole,
             Map.of("far", whole),
             FAST_LINK_MBPS,
@@ -132,7 +133,9 @@
     assertThat(fetch.map(Placement.PrefixFetch::tokens).orElse(0L), equalTo(row.tokens()));
   }
 
-  /** What happened to the only holder, and whether it is told of as a source afterwards. */
+  /**
+   * A test case: an event at the only cache holder, and whether it is used as a source afterwards.
+   */
   record HolderRow(String name, BiConsumer<EndpointTracker, Instant> event, boolean source) {
     @Override
     public String toString() {
@@ -144,25 +147,25 @@
     return Stream.of(
         new HolderRow("answers", (e, now) -> begin(e, now).bytesReceived(now), true),
         new HolderRow(
-            "answers in full",
+            "completes a response",
             (e, now) -> begin(e, now).finish(EndpointTracker.Outcome.ANSWERED, now),
             true),
         new HolderRow(
-            "is full",
+            "rejects a request because it is full",
             (e, now) -> begin(e, now).finish(EndpointTracker.Outcome.NOT_RUN, now),
             true),
         new HolderRow(
-            "breaks off an answer",
+            "closes the connection during a response",
             (e, now) -> begin(e, now).finish(EndpointTracker.Outcome.FAILED, now),
             false),
         new HolderRow(
-            "broke one off long ago",
+            "closed a connection during a response 5 s ago",
             (e, now) ->
                 begin(e, now.minusSeconds(5))
                     .finish(EndpointTracker.Outcome.FAILED, now.minusSeconds(5)),
             true),
         new HolderRow(
-            "owes an answer and is silent", (e, now) -> begin(e, now.minusSeconds(2)), false),
+            "has an overdue response", (e, now) -> begin(e, now.minusSeconds(2)), false),
         new HolderRow("refuses connections", EndpointTracker::recordConnectFailure, false),
         new HolderRow(
             "is lost",
@@ -178,7 +181,10 @@
     assertThat(holder.isPrefixSource(NOW), equalTo(row.source()));
   }
 
-  /** The answer broke off at the holder itself: its next endpoint must not ask it. */
+  /**
+   * After the connection to the cache holder was lost during a response, the endpoint of the next
+   * attempt must not fetch from that holder.
+   */
   @Test
   void passedOverHolderIsNoSource() {
     EndpointTracker holder = tracker("holder", "a");
@@ -192,9 +198,10 @@
   }
 
   /**
-   * Replays a crash at the peak: the engine that holds three long prompts breaks off, and they are
-   * placed again at once on the two that are left. Their reading is foreseen, so that it is shared
-   * and the questions that follow do not wait behind it unforeseen.
+   * An engine that caches three long prompts crashes at the peak, and the prompts are placed again
+   * on the two engines left. Guards against estimates that still assume a fetch from the crashed
+   * engine: the full prefill must be accounted for, so that it is distributed over both engines and
+   * the requests that follow are not placed behind prefills missing from the estimates.
    */
   @Test
   void promptsOfCrashedEngineAreKnownToBeReadInFull() {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/ReadingQueueTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/ReadingQueueTest.java
@@ -10,12 +10,15 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.lacewingcroft.placement.ReadingQueue.Unread;
 
-/** How many tokens an engine reads before a request that is sent now, 100 tokens a millisecond. */
+/**
+ * Estimated number of tokens that an engine prefills before a request that is sent now, at 100
+ * tokens a millisecond.
+ */
 class ReadingQueueTest {
   private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
   private static final double SPEED = 100;
 
-  /** One prompt: its priority, its tokens and when it was sent, in ms. */
+  /** A prompt: its priority, its length in tokens and when it was sent, in ms after the start. */
   record Sent(int priority, long tokens, long atMillis) {
     Unread unread() {
       return new Unread(priority, tokens, at(atMillis));
@@ -23,14 +26,14 @@
   }
 
   /**
-   * A row.
+   * A test case.
    *
    * @param own prompts of this entry
-   * @param peers prompts of another entry, told at the time of the question
-   * @param readMillis when this entry last saw a first byte; 0 for never
-   * @param priority of the request asked for
-   * @param nowMillis the time of the question
-   * @param ahead the tokens expected before it
+   * @param peers prompts of another entry, reported at {@code nowMillis}
+   * @param prefilledMillis when this entry last received a first byte, in ms; 0 for never
+   * @param priority the priority of the new request
+   * @param nowMillis when the new request is sent, in ms
+   * @param ahead the expected number of tokens ahead of it
    */
   record Row(
       String name,
@@ -51,11 +54,11 @@
     Sent shortOne = new Sent(0, 2_000, 5);
     return Stream.of(
         new Row("nothing", List.of(), List.of(), 0, 0, 10, 0),
-        new Row("the rest of a less urgent prompt", List.of(longOne), List.of(), 0, 0, 100, 20_000),
-        new Row("another entry's counts alike", List.of(), List.of(longOne), 0, 0, 100, 20_000),
-        new Row("one that should be read by now", List.of(longOne), List.of(), 0, 0, 900, 3_000),
+        new Row("remainder of a less urgent prompt in progress", List.of(longOne), List.of(), 0, 0, 100, 20_000),
+        new Row("prompt of another entry in progress", List.of(), List.of(longOne), 0, 0, 100, 20_000),
+        new Row("prompt that should be prefilled by now", List.of(longOne), List.of(), 0, 0, 900, 3_000),
         new Row(
-            "a less urgent one that waits does not count",
+            "less urgent waiting prompt does not count",
             List.of(shortOne, new Sent(1, 30_000, 6)),
             List.of(),
             0,
@@ -63,7 +66,7 @@
             15,
             1_000),
         new Row(
-            "but counts for its equals",
+            "waiting prompt of equal priority counts",
             List.of(shortOne, new Sent(1, 30_000, 6)),
             List.of(),
             0,
@@ -71,7 +74,7 @@
             15,
             31_000),
         new Row(
-            "the most urgent goes next once the engine is free",
+            "most urgent prompt is next once the engine is free",
             List.of(new Sent(1, 30_000, 2), shortOne),
             List.of(),
             20,
@@ -79,7 +82,7 @@
             30,
             1_000),
         new Row(
-            "own and others' add up",
+            "prompts of this and another entry add up",
             List.of(longOne),
             List.of(shortOne, shortOne),
             0,
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/RegionLoadsTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/RegionLoadsTest.java
@@ -13,21 +13,24 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.lacewingcroft.fleet.FleetMessage.ServiceLoad;
 
-/** When another region is offered, and for what wait, by what it told and what was sent since. */
+/**
+ * When another region is offered, and with which estimated wait, given its report and the requests
+ * relayed since.
+ */
 class RegionLoadsTest {
   private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
   private static final String NONE = "none";
 
   /**
-   * A row.
+   * A test case.
    *
-   * @param farWait the wait that the region "far" told at the start, in ms
-   * @param nearWait the same of "near"
-   * @param sentToNear requests of 6,000 tokens relayed to "near" since
-   * @param senders entries of this region
+   * @param farWait the wait that the region "far" reported at the start, in ms
+   * @param nearWait the wait that the region "near" reported at the start, in ms
+   * @param sentToNear the number of requests of 6,000 tokens relayed to "near" since
+   * @param senders the number of entries of this region
    * @param failed a region that could not be reached at the start
-   * @param laterMillis the time of the question
-   * @param offered the region and the wait expected
+   * @param laterMillis the time of the placement, in ms after the start
+   * @param offered the expected region and wait
    */
   record Row(
       String name,
@@ -46,12 +49,12 @@
 
   static Stream<Row> rows() {
     return Stream.of(
-        new Row("the least wait", 300, 100, 0, 1, NONE, 500, "near 100"),
-        new Row("own relays add up", 300, 100, 1, 1, NONE, 500, "near 150"),
-        new Row("and those of the region's other entries", 300, 100, 1, 4, NONE, 500, "far 300"),
-        new Row("a region out of reach", 300, 100, 0, 1, "near", 500, "far 300"),
-        new Row("still out of reach", 300, 100, 0, 1, "near", 1_250, "far 300"),
-        new Row("two reports missed", 300, 100, 0, 1, NONE, 1_300, NONE));
+        new Row("shortest wait", 300, 100, 0, 1, NONE, 500, "near 100"),
+        new Row("own relays add to the wait", 300, 100, 1, 1, NONE, 500, "near 150"),
+        new Row("relays of the region's other entries are estimated", 300, 100, 1, 4, NONE, 500, "far 300"),
+        new Row("unreachable region", 300, 100, 0, 1, "near", 500, "far 300"),
+        new Row("still unreachable", 300, 100, 0, 1, "near", 1_250, "far 300"),
+        new Row("two reports missing", 300, 100, 0, 1, NONE, 1_300, NONE));
   }
 
   @ParameterizedTest
@@ -77,7 +80,9 @@
     assertThat(offered, equalTo(row.offered()));
   }
 
-  /** Two endpoints that read 60 tokens a millisecond each. */
+  /**
+   * Returns the load of a service with two endpoints, which prefill 60 tokens a millisecond each.
+   */
   private static ServiceLoad load(long waitMillis) {
     long[] waits = new long[EndpointTracker.PRIORITIES];
     Arrays.fill(waits, waitMillis);
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/SilentEndpointTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/SilentEndpointTest.java
@@ -16,11 +16,17 @@
 import org.lacewingcroft.placement.EndpointTracker.InFlightRequest;
 import org.lacewingcroft.placement.EndpointTracker.Outcome;
 
-/** What is believed of an endpoint after its last request ended without a byte. */
+/**
+ * When an endpoint is suspect after its last request ended without a byte of a response. Guards
+ * against an unresponsive endpoint that looks idle again, and so gets all new requests, once its
+ * requests have been cancelled.
+ */
 class SilentEndpointTest {
   private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
 
-  /** A row: what happens, and what is believed so long after the start. */
+  /**
+   * A test case: the events, and the expected state of the endpoint at an instant after the start.
+   */
   record Row(
       String name,
       BiConsumer<EndpointTracker, InFlightRequest> events,
@@ -36,29 +42,29 @@
   static Stream<Row> rows() {
     return Stream.of(
         new Row("just sent", (e, t) -> {}, 700, false, false),
-        new Row("no answer for long", (e, t) -> {}, 900, true, false),
+        new Row("response overdue", (e, t) -> {}, 900, true, false),
         new Row(
-            "the request was given up",
+            "request failed while unresponsive",
             (e, t) -> t.finish(Outcome.FAILED, at(1_000)),
             1_100,
             true,
             true),
         new Row(
-            "its caller left", (e, t) -> t.finish(Outcome.CANCELLED, at(1_000)), 1_100, true, true),
+            "caller disconnected while unresponsive", (e, t) -> t.finish(Outcome.CANCELLED, at(1_000)), 1_100, true, true),
         new Row(
-            "a caller that leaves soon says nothing",
+            "caller disconnected before the timeout",
             (e, t) -> t.finish(Outcome.CANCELLED, at(300)),
             1_100,
             false,
             false),
         new Row(
-            "after a pause it may be asked again, on a new connection",
+            "after the backoff requests need a new connection",
             (e, t) -> t.finish(Outcome.FAILED, at(1_000)),
             1_300,
             false,
             true),
-        new Row("the pause grows", SilentEndpointTest::silentTwice, 3_400, true, true),
-        new Row("an answer proves it", SilentEndpointTest::silentThenAnswers, 1_500, false, false));
+        new Row("backoff grows", SilentEndpointTest::silentTwice, 3_400, true, true),
+        new Row("response clears the state", SilentEndpointTest::silentThenAnswers, 1_500, false, false));
   }
 
   @ParameterizedTest
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/StreamReplay.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/StreamReplay.java
@@ -13,10 +13,10 @@
 import org.lacewingcroft.fleet.EndpointState;
 
 /**
- * Replays streams through {@link Placer} against engines that read prompts in chunks between the
- * steps of the streams they feed: each step gives every stream one token, and takes much longer
- * with a chunk than without. Some engines also read long prompts that others than these callers
- * send, as a neighbouring region's peak does. Time is simulated; equal seeds give equal results.
+ * Replays streams through {@link Placer} against simulated engines that prefill prompts in chunks
+ * between the steps of their streams: each step produces one token for every stream, and takes much
+ * longer with a chunk than without. Some engines also prefill long prompts of other callers, as at
+ * a neighbouring region's peak. Time is simulated; equal seeds give equal results.
  */
 final class StreamReplay {
   private static final double CHUNK_TOKENS = 4_096;
@@ -29,7 +29,10 @@
   private static final Duration OBJECTIVE = Duration.ofSeconds(2);
   private static final Duration DEADLINE = Duration.ofSeconds(5);
 
-  /** Sigma of the logarithm of the callers' estimates against the answers' lengths. */
+  /**
+   * Standard deviation of the logarithm of the ratio between the callers' length hints and the
+   * actual lengths.
+   */
   private static final double HINT_ERROR = 0.5;
 
   private final Random random;
@@ -75,7 +78,8 @@
   /**
    * Creates a replay.
    *
-   * @param foreignTokensPerMilli for each engine the prompt tokens a millisecond that others send
+   * @param foreignTokensPerMilli for each engine the prompt tokens a millisecond that other callers
+   *     send
    */
   StreamReplay(List<Double> foreignTokensPerMilli, Set<PlacementMechanism> switchedOff, long seed) {
     this.switchedOff = switchedOff;
@@ -97,7 +101,9 @@
     }
   }
 
-  /** Runs callers that arrive at random and returns the share of their answers that end in time. */
+  /**
+   * Runs requests that arrive at random and returns the share of their responses that end in time.
+   */
   double run(double perSecond, double meanTokens, Duration length) {
     lengthMillis = length.toMillis();
     for (long ms = 0; ms < lengthMillis; ms++) {
@@ -144,14 +150,17 @@
     }
   }
 
-  /** Prompts share one of some short beginnings, by which engines are ranked. */
+  /**
+   * Returns the parts of a prompt, which starts with one of a few short shared prefixes; engines
+   * are ranked by these.
+   */
   private List<PromptPart> parts() {
     return List.of(
         new PromptPart("shared" + random.nextInt(SUBJECTS), PROMPT_TOKENS / 3),
         new PromptPart("own" + random.nextLong(), PROMPT_TOKENS - PROMPT_TOKENS / 3));
   }
 
-  /** One step: a chunk of prompts, then a token for each stream. */
+  /** Runs one step: prefills a chunk of prompts, then produces one token for each stream. */
   private void step(Engine engine, long ms) {
     final Instant now = start.plusMillis(ms);
     double room = CHUNK_TOKENS;
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/StreamReplayTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/StreamReplayTest.java
@@ -13,14 +13,19 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Long answers while some engines read prompts most of the time: their first bytes come early
- * everywhere, and the tokens after them only where little is read.
+ * Long responses while some engines prefill prompts most of the time: their first bytes arrive
+ * early from every engine, but the tokens after them arrive fast only from engines with little
+ * prefill load.
  */
 class StreamReplayTest {
   private static final Duration LENGTH = Duration.ofSeconds(40);
   private static final double MEAN_TOKENS = 60;
 
-  /** A row: what others have each engine read, and which share of answers must end in time. */
+  /**
+   * A test case: the prompt tokens a millisecond that other callers send to each engine, the rate
+   * of requests a second, the minimum share of responses that end in time, and the maximum share
+   * with the time per output token disabled.
+   */
   record Row(
       String name, List<Double> foreign, double perSecond, double least, double mostWithout) {
     @Override
@@ -31,9 +36,9 @@
 
   static Stream<Row> rows() {
     return Stream.of(
-        new Row("all engines free", List.of(0.0, 0.0), 60, 0.99, 1),
-        new Row("one of two reads always", List.of(45.0, 0.0), 60, 0.97, 0.95),
-        new Row("two of three read always", List.of(45.0, 45.0, 0.0), 60, 0.95, 0.9));
+        new Row("no engine has other load", List.of(0.0, 0.0), 60, 0.99, 1),
+        new Row("one of two engines always prefills", List.of(45.0, 0.0), 60, 0.97, 0.95),
+        new Row("two of three engines always prefill", List.of(45.0, 45.0, 0.0), 60, 0.95, 0.9));
   }
 
   @ParameterizedTest
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/TokenPaceTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/TokenPaceTest.java
@@ -10,12 +10,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The pace of tokens from the pauses between events. */
+/** Estimated time per output token, from the intervals between events. */
 class TokenPaceTest {
   private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
   private static final int TOKENS = 4;
 
-  /** A row: the pauses between events, how long ago the last one was, and the pace told. */
+  /**
+   * A test case: the intervals between events, the age of the last event, and the expected
+   * estimate.
+   */
   record Row(String name, List<Integer> pausesMillis, int agoMillis, double pace) {
     @Override
     public String toString() {
@@ -25,12 +28,12 @@
 
   static Stream<Row> rows() {
     return Stream.of(
-        new Row("nothing known", List.of(), 0, TokenPace.INITIAL_MILLIS),
-        new Row("one event weighs as much as the belief", List.of(120), 0, 20),
-        new Row("a busy engine", repeated(240, 20), 0, 49),
-        new Row("it becomes idle again", repeated(240, 20), 4_000, 10.5),
-        new Row("the newest events count", join(repeated(240, 20), repeated(40, 40)), 0, 11),
-        new Row("a caller that pauses is no slow engine", List.of(60_000), 0, 255));
+        new Row("no samples", List.of(), 0, TokenPace.INITIAL_MILLIS),
+        new Row("one event has the same weight as the initial assumption", List.of(120), 0, 20),
+        new Row("busy engine", repeated(240, 20), 0, 49),
+        new Row("idle again after being busy", repeated(240, 20), 4_000, 10.5),
+        new Row("newest events dominate", join(repeated(240, 20), repeated(40, 40)), 0, 11),
+        new Row("long interval is bounded", List.of(60_000), 0, 255));
   }
 
   private static List<Integer> repeated(int millis, int times) {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/TrackedEndpointsTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/TrackedEndpointsTest.java
@@ -20,7 +20,7 @@
 import org.lacewingcroft.fleet.EndpointState;
 import org.lacewingcroft.fleet.FleetMessage;
 
-/** What an entry knows of endpoints, from what a control instance tells it. */
+/** An entry's view of the endpoints, from the updates that a control instance sends. */
 class TrackedEndpointsTest {
   private static final Instant START = Instant.ofEpochSecond(1_000_000);
   private static final Duration LEASE = Duration.ofSeconds(4);
@@ -77,17 +77,18 @@
   void endpointMissingInWholeRosterIsLost() {
     tell(false, START, record("e", 1, EndpointState.READY, 1));
     tell(true, START.plusSeconds(1));
-    assertThat("too young", ended, hasSize(0));
+    assertThat("record too recent", ended, hasSize(0));
     tell(true, START.plusSeconds(4));
     assertThat(ended, is(List.of("e@1")));
     assertThat(changes, is(List.of("e READY", "e LOST")));
   }
 
   /**
-   * Endpoints come and go for ten minutes, each under a new id, and a control instance tells the
-   * entry of changes at once and of the whole roster whenever their digests differ, as it does. The
-   * control instance forgets an endpoint 90 s after its loss; an entry kept it, 600 records instead
-   * of 91, so that the digests differed for good and the whole roster was told again and again.
+   * Endpoints start and end for ten minutes, each under a new id, while a control instance sends
+   * each change to the entry at once, and the complete roster whenever their digests differ. The
+   * control instance removes an endpoint 90 s after its loss. Guards against an entry that keeps
+   * it: with 600 records instead of 91, the digests would differ permanently and the complete
+   * roster would be sent again and again.
    */
   @ParameterizedTest
   @MethodSource("departures")
@@ -112,12 +113,15 @@
         assertThat(endpoints.trackers().size(), lessThanOrEqualTo(2 * control.size()));
       }
     }
-    assertThat("whole rosters told once all is quiet", wholeRostersInTheEnd, is(0));
+    assertThat("complete rosters sent after the last change", wholeRostersInTheEnd, is(0));
     assertThat("records kept", endpoints.size(), is(control.size()));
     assertThat("trackers kept", endpoints.trackers(), hasSize(0));
   }
 
-  /** Control instances that restart forget endpoints that they do not reach; entries go on. */
+  /**
+   * A restarted control instance does not know the endpoints that cannot reach it, while the
+   * entries continue to send to them.
+   */
   @Test
   void endpointThatWasForgottenKeepsTheRateThatItStated() {
     tell(true, START, record("e", 1, EndpointState.READY, 1));
@@ -144,7 +148,7 @@
     tell(true, START.plusSeconds(10));
     tell(true, START.plusSeconds(11));
     tell(true, START.plusSeconds(12), record("e", 1, EndpointState.READY, 3));
-    assertThat("after it was forgotten", takesWork("e", START.plusSeconds(12)), is(false));
+    assertThat("after its removal", takesWork("e", START.plusSeconds(12)), is(false));
     tell(true, START.plusSeconds(13), record("e", 2, EndpointState.READY, 1));
     assertThat("another incarnation", takesWork("e", START.plusSeconds(13)), is(true));
   }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/stream/EventSplitterTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/stream/EventSplitterTest.java
@@ -13,7 +13,10 @@
   private static final String ONE = "id: 1\ndata: a\n\n";
   private static final String TWO = "id: 2\r\ndata: b\r\n\r\n";
 
-  /** A row: the last event known, the bytes, what is passed on, the last id and the rest. */
+  /**
+   * A test case: the id of the last event already forwarded, the bytes, and the expected forwarded
+   * bytes, last id and incomplete event.
+   */
   record Row(long known, String bytes, String passedOn, long lastId, String rest) {}
 
   static Stream<Row> rows() {
