--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/AdvertisedConditions.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/AdvertisedConditions.java
@@ -14,7 +14,7 @@
 public final class AdvertisedConditions {
   private final EndpointRateLimit rateLimit = new EndpointRateLimit();
   private Instant pausedUntil = Instant.EPOCH;
-  private boolean leaving;
+  private boolean draining;
 
   /** Returns the rate limit that the endpoint advertises for all entries together. */
   public EndpointRateLimit rateLimit() {
@@ -27,16 +27,16 @@
    * @return whether this entry did not know this before
    */
   public boolean markDraining() {
-    boolean news = !leaving;
-    leaving = true;
-    return news;
+    boolean changed = !draining;
+    draining = true;
+    return changed;
   }
 
   /**
    * Returns whether the endpoint is draining; such an incarnation does not accept requests again.
    */
   public boolean isDraining() {
-    return leaving;
+    return draining;
   }
 
   /** Records a pause that the endpoint requested, during which this entry must not send to it. */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/EndpointTracker.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/EndpointTracker.java
@@ -26,20 +26,20 @@
   public static final int PRIORITIES = 10;
 
   /** Prefill speed assumed before the first measurement: a large model on a recent accelerator. */
-  private static final double INITIAL_TOKENS_PER_MILLI = 80;
+  private static final double INITIAL_PREFILL_TOKENS_PER_MILLI = 80;
 
   /** Bounds of a plausible prefill speed; measured samples are clamped to them. */
-  private static final double MIN_TOKENS_PER_MILLI = 4;
+  private static final double MIN_PREFILL_TOKENS_PER_MILLI = 4;
 
-  private static final double MAX_TOKENS_PER_MILLI = 120;
+  private static final double MAX_PREFILL_TOKENS_PER_MILLI = 120;
 
   /**
    * Shorter prefills are not sampled: their time depends more on the network than on the engine.
    */
-  private static final long MEASURABLE_TOKENS = 1_500;
+  private static final long MIN_SAMPLE_TOKENS = 1_500;
 
   /** Service time of a request at a plain service, assumed before the first measurement. */
-  private static final double INITIAL_SERVICE_MILLIS = 30;
+  private static final double INITIAL_SERVICE_TIME_MILLIS = 30;
 
   /** Weight of a new sample in the exponential moving averages, which cover about ten samples. */
   private static final double SAMPLE_WEIGHT = 0.1;
@@ -49,38 +49,38 @@
    * another endpoint is available: engines send a byte of some stream many times a second, and
    * callers time out after two seconds.
    */
-  private static final Duration SUSPICIOUS_SILENCE = Duration.ofMillis(800);
+  private static final Duration UNRESPONSIVE_TIMEOUT = Duration.ofMillis(800);
 
   /**
    * Backoff after the first failed connection attempt or unresponsive period; it doubles with each
    * further one.
    */
-  private static final long REFUSED_PAUSE_MILLIS = 250;
+  private static final long INITIAL_BACKOFF_MILLIS = 250;
 
-  private static final long MAX_REFUSED_PAUSE_MILLIS = 2_000;
+  private static final long MAX_BACKOFF_MILLIS = 2_000;
 
   /**
    * Minimum interval between two requests of one entry to a cold endpoint: its limit applies to
    * each second, in which one entry then sends at most one request.
    */
-  private static final Duration COLD_PAUSE = Duration.ofMillis(1_100);
+  private static final Duration MIN_COLD_REQUEST_INTERVAL = Duration.ofMillis(1_100);
 
   /** Time after which a recorded failure has half its weight. */
   private static final double FAILURE_HALF_LIFE_MILLIS = 2_000;
 
   /** Failure score below which an endpoint is used as a source of KV cache. */
-  private static final double MOST_FAILURES_OF_SOURCE = 0.5;
+  private static final double MAX_SOURCE_FAILURE_SCORE = 0.5;
 
   private EndpointRecord record;
   private Instant coldUntil;
-  private boolean wrongInstance;
-  private int running;
-  private final ReadingQueue reading = new ReadingQueue();
-  private final Map<String, PeerWork> peers = new HashMap<>();
-  private final List<InFlightRequest> open = new ArrayList<>();
-  private final PrefixMemory prefixes = new PrefixMemory();
-  private final PrefixMemory readPrefixes = new PrefixMemory();
-  private final TokenPace pace = new TokenPace();
+  private boolean replaced;
+  private int inFlight;
+  private final PrefillQueue prefillQueue = new PrefillQueue();
+  private final Map<String, PeerLoad> peerLoads = new HashMap<>();
+  private final List<InFlightRequest> openRequests = new ArrayList<>();
+  private final PrefixCacheModel expectedPrefixes = new PrefixCacheModel();
+  private final PrefixCacheModel confirmedPrefixes = new PrefixCacheModel();
+  private final OutputTokenTime outputTokenTime = new OutputTokenTime();
   private final AdvertisedConditions conditions;
 
   /**
@@ -89,31 +89,31 @@
    * the speed left for less urgent requests drops as the load rises, and a wait estimated from the
    * engine's full speed would be far too short.
    */
-  private final double[] tokensPerMilli = new double[PRIORITIES];
+  private final double[] prefillTokensPerMilli = new double[PRIORITIES];
 
-  private double serviceMillis = INITIAL_SERVICE_MILLIS;
+  private double serviceTimeMillis = INITIAL_SERVICE_TIME_MILLIS;
   private double failureScore;
-  private Instant failureAt = Instant.EPOCH;
+  private Instant lastFailureAt = Instant.EPOCH;
   private Instant lastByteAt = Instant.EPOCH;
-  private Instant refusedUntil = Instant.EPOCH;
-  private int refusals;
-  private Instant coldSentAt = Instant.EPOCH;
-  private Instant busyUntil = Instant.EPOCH;
-  private Instant silentUntil = Instant.EPOCH;
-  private int silences;
+  private Instant connectBackoffUntil = Instant.EPOCH;
+  private int connectFailures;
+  private Instant lastColdRequestAt = Instant.EPOCH;
+  private Instant fullUntil = Instant.EPOCH;
+  private Instant unresponsiveBackoffUntil = Instant.EPOCH;
+  private int unresponsivePeriods;
 
-  private record PeerWork(int running, Instant at) {}
+  private record PeerLoad(int inFlight, Instant receivedAt) {}
 
   /** A request in flight at the endpoint. */
   public final class InFlightRequest {
-    private final ReadingQueue.Unread prompt;
+    private final PrefillQueue.PendingPrompt prompt;
     private final double aheadTokens;
     private final Instant sentAt;
     private Optional<Instant> lastEventAt = Optional.empty();
-    private boolean begun;
-    private boolean ended;
+    private boolean firstByteReceived;
+    private boolean finished;
 
-    private InFlightRequest(ReadingQueue.Unread prompt, double aheadTokens) {
+    private InFlightRequest(PrefillQueue.PendingPrompt prompt, double aheadTokens) {
       this.prompt = prompt;
       this.aheadTokens = aheadTokens;
       this.sentAt = prompt.sentAt();
@@ -134,12 +134,12 @@
     /** Records bytes of the response; the first ones mark the end of the prefill. */
     public void bytesReceived(Instant now) {
       lastByteAt = now;
-      silences = 0;
-      silentUntil = Instant.EPOCH;
-      if (!begun) {
-        begun = true;
-        reading.read(prompt, now);
-        measureSpeed(now);
+      unresponsivePeriods = 0;
+      unresponsiveBackoffUntil = Instant.EPOCH;
+      if (!firstByteReceived) {
+        firstByteReceived = true;
+        prefillQueue.prefilled(prompt, now);
+        samplePrefillSpeed(now);
       }
     }
 
@@ -149,42 +149,45 @@
      * @param newTokens the number of output tokens in them
      */
     public void eventsReceived(long newTokens, Instant now) {
-      lastEventAt.ifPresent(at -> pace.sample(Duration.between(at, now), newTokens, now));
+      lastEventAt.ifPresent(
+          at -> outputTokenTime.addSample(Duration.between(at, now), newTokens, now));
       lastEventAt = Optional.of(now);
     }
 
-    private void measureSpeed(Instant now) {
+    private void samplePrefillSpeed(Instant now) {
       double tokens = aheadTokens + prompt.tokens();
       long millis = Duration.between(sentAt, now).toMillis();
-      if (tokens >= MEASURABLE_TOKENS && millis > 0) {
+      if (tokens >= MIN_SAMPLE_TOKENS && millis > 0) {
         double sample = tokens / millis;
-        double bounded = Math.max(MIN_TOKENS_PER_MILLI, Math.min(MAX_TOKENS_PER_MILLI, sample));
-        int p = prompt.priority();
-        tokensPerMilli[p] += SAMPLE_WEIGHT * (bounded - tokensPerMilli[p]);
+        double clamped =
+            Math.max(MIN_PREFILL_TOKENS_PER_MILLI, Math.min(MAX_PREFILL_TOKENS_PER_MILLI, sample));
+        int priority = prompt.priority();
+        prefillTokensPerMilli[priority] +=
+            SAMPLE_WEIGHT * (clamped - prefillTokensPerMilli[priority]);
       }
     }
 
     /** Ends the request; further calls have no effect. */
     public void finish(Outcome outcome, Instant now) {
-      if (ended) {
+      if (finished) {
         return;
       }
-      ended = true;
-      final boolean silent = owesAnswers(now);
-      open.remove(this);
-      running--;
-      if (!begun) {
-        reading.drop(prompt);
+      finished = true;
+      final boolean unresponsive = isUnresponsive(now);
+      openRequests.remove(this);
+      inFlight--;
+      if (!firstByteReceived) {
+        prefillQueue.remove(prompt);
       }
       if (outcome == Outcome.ANSWERED) {
         double millis = Duration.between(sentAt, now).toMillis();
-        serviceMillis += SAMPLE_WEIGHT * (millis - serviceMillis);
-        refusals = 0;
+        serviceTimeMillis += SAMPLE_WEIGHT * (millis - serviceTimeMillis);
+        connectFailures = 0;
       } else if (outcome == Outcome.FAILED) {
-        failed(1, now);
+        recordFailure(1, now);
       }
-      if (silent && (outcome == Outcome.FAILED || outcome == Outcome.CANCELLED)) {
-        fellSilent(now);
+      if (unresponsive && (outcome == Outcome.FAILED || outcome == Outcome.CANCELLED)) {
+        recordUnresponsivePeriod(now);
       }
     }
   }
@@ -209,16 +212,16 @@
   /** Starts tracking an endpoint whose incarnation may already have advertised conditions. */
   EndpointTracker(EndpointRecord record, AdvertisedConditions conditions, Instant now) {
     this.conditions = conditions;
-    Arrays.fill(tokensPerMilli, INITIAL_TOKENS_PER_MILLI);
+    Arrays.fill(prefillTokensPerMilli, INITIAL_PREFILL_TOKENS_PER_MILLI);
     update(record, now);
   }
 
   /** Replaces the record with a newer one of the same endpoint. */
   public void update(EndpointRecord newer, Instant now) {
     record = newer;
-    wrongInstance = false;
-    Instant cold = now.plusMillis(newer.coldMillis());
-    coldUntil = coldUntil == null || cold.isAfter(coldUntil) ? cold : coldUntil;
+    replaced = false;
+    Instant newColdUntil = now.plusMillis(newer.coldMillis());
+    coldUntil = coldUntil == null || newColdUntil.isAfter(coldUntil) ? newColdUntil : coldUntil;
   }
 
   /** Treats the endpoint as cold at least until an instant. */
@@ -256,12 +259,12 @@
 
   /** Returns the number of this entry's requests in flight at the endpoint. */
   public int inFlight() {
-    return running;
+    return inFlight;
   }
 
   /** Returns this entry's prompts that the endpoint has not prefilled yet. */
   public List<FleetMessage.UnreadPrompt> pendingPrompts(Instant now) {
-    return reading.own().stream()
+    return prefillQueue.ownPrompts().stream()
         .map(
             p ->
                 new FleetMessage.UnreadPrompt(
@@ -271,18 +274,18 @@
 
   /** Replaces the load that another entry last reported for this endpoint. */
   public void updatePeerLoad(
-      String entry, int peerRunning, List<FleetMessage.UnreadPrompt> prompts, Instant now) {
-    if (peerRunning == 0) {
-      peers.remove(entry);
+      String entry, int peerInFlight, List<FleetMessage.UnreadPrompt> prompts, Instant now) {
+    if (peerInFlight == 0) {
+      peerLoads.remove(entry);
     } else {
-      peers.put(entry, new PeerWork(peerRunning, now));
+      peerLoads.put(entry, new PeerLoad(peerInFlight, now));
     }
-    reading.heard(
+    prefillQueue.updatePeer(
         entry,
         prompts.stream()
             .map(
                 p ->
-                    new ReadingQueue.Unread(
+                    new PrefillQueue.PendingPrompt(
                         p.priority(), p.tokens(), now.minusMillis(p.ageMillis())))
             .toList(),
         now);
@@ -296,45 +299,46 @@
    */
   public InFlightRequest startRequest(
       PlacementRequest request, long fetchedTokens, long kvCapacityTokens, Instant now) {
-    int priority = bounded(request.priority());
-    double ahead = tokensAhead(priority, now);
-    long unread = Math.max(0, uncachedTokens(request) - fetchedTokens);
-    InFlightRequest ticket =
-        new InFlightRequest(new ReadingQueue.Unread(priority, unread, now), ahead);
-    if (running == 0) {
+    int priority = clampPriority(request.priority());
+    double aheadTokens = tokensAhead(priority, now);
+    long prefillTokens = Math.max(0, uncachedTokens(request) - fetchedTokens);
+    InFlightRequest inFlightRequest =
+        new InFlightRequest(
+            new PrefillQueue.PendingPrompt(priority, prefillTokens, now), aheadTokens);
+    if (inFlight == 0) {
       lastByteAt = now;
     }
-    running++;
-    open.add(ticket);
-    reading.add(ticket.prompt);
+    inFlight++;
+    openRequests.add(inFlightRequest);
+    prefillQueue.add(inFlightRequest.prompt);
     if (!request.parts().isEmpty()) {
-      prefixes.read(request.parts(), kvCapacityTokens);
+      expectedPrefixes.add(request.parts(), kvCapacityTokens);
     }
     if (isCold(now)) {
-      coldSentAt = now;
+      lastColdRequestAt = now;
     }
     rateLimit().recordSend(now);
-    return ticket;
+    return inFlightRequest;
   }
 
   /** Records that a connection to the endpoint could not be established. */
   public void recordConnectFailure(Instant now) {
-    refusals++;
-    refusedUntil = now.plusMillis(pauseMillis(refusals));
+    connectFailures++;
+    connectBackoffUntil = now.plusMillis(backoffMillis(connectFailures));
   }
 
   /**
    * Records that a request ended while the endpoint was unresponsive. Without this the endpoint
    * would look idle once the last such request has ended, and would get all new requests again.
    */
-  private void fellSilent(Instant now) {
-    silences++;
-    silentUntil = now.plusMillis(pauseMillis(silences));
+  private void recordUnresponsivePeriod(Instant now) {
+    unresponsivePeriods++;
+    unresponsiveBackoffUntil = now.plusMillis(backoffMillis(unresponsivePeriods));
   }
 
-  private static long pauseMillis(int times) {
-    long pause = REFUSED_PAUSE_MILLIS << Math.min(8, times - 1);
-    return Math.min(MAX_REFUSED_PAUSE_MILLIS, pause);
+  private static long backoffMillis(int count) {
+    long millis = INITIAL_BACKOFF_MILLIS << Math.min(8, count - 1);
+    return Math.min(MAX_BACKOFF_MILLIS, millis);
   }
 
   /**
@@ -342,29 +346,29 @@
    * opened before may be dead, and a request written to one of them may or may not run.
    */
   public boolean isUnconfirmed() {
-    return silences > 0;
+    return unresponsivePeriods > 0;
   }
 
   /** Records that another incarnation answers at the endpoint's address. */
   public void markReplaced() {
-    wrongInstance = true;
+    replaced = true;
   }
 
   /** Records that the endpoint rejected a request because it is full. */
   public void markFull(Instant now) {
-    busyUntil = now.plusMillis(Math.round(Math.min(500, Math.max(50, serviceMillis))));
+    fullUntil = now.plusMillis(Math.round(Math.min(500, Math.max(50, serviceTimeMillis))));
   }
 
-  private void failed(double weight, Instant now) {
+  private void recordFailure(double weight, Instant now) {
     failureScore = failureScore(now) + weight;
-    failureAt = now;
+    lastFailureAt = now;
   }
 
   private double failureScore(Instant now) {
     if (failureScore == 0) {
       return 0;
     }
-    double millis = Duration.between(failureAt, now).toMillis();
+    double millis = Duration.between(lastFailureAt, now).toMillis();
     return failureScore * Math.pow(0.5, Math.min(100, millis / FAILURE_HALF_LIFE_MILLIS));
   }
 
@@ -375,15 +379,15 @@
 
   /** Returns whether the endpoint may get new requests at all. */
   public boolean acceptsRequests(Instant now) {
-    return inService(now) && conditions.remainingPause(now).isZero();
+    return isInService(now) && conditions.remainingPause(now).isZero();
   }
 
   /** Returns whether the endpoint accepts requests, apart from any pause that it requested. */
-  private boolean inService(Instant now) {
+  private boolean isInService(Instant now) {
     return record.state() == EndpointState.READY
         && !conditions.isDraining()
-        && !wrongInstance
-        && !refusedUntil.isAfter(now);
+        && !replaced
+        && !connectBackoffUntil.isAfter(now);
   }
 
   /**
@@ -393,7 +397,7 @@
    * @param regionEntries the names of the region's entries
    * @return 0 if this entry is not one of them
    */
-  private int rateSenders(String entry, List<String> regionEntries) {
+  private int rateSenderCount(String entry, List<String> regionEntries) {
     int senders = Math.min(rateLimit().maxSenders(), regionEntries.size());
     return isAmongFirst(entry, regionEntries, senders) ? senders : 0;
   }
@@ -409,7 +413,7 @@
   /** Returns whether the advertised rate limit admits one more request of this entry now. */
   public boolean withinRate(String entry, List<String> regionEntries, Instant now) {
     return rateLimit().perSecond().isEmpty()
-        || rateLimit().admits(rateSenders(entry, regionEntries), now);
+        || rateLimit().admits(rateSenderCount(entry, regionEntries), now);
   }
 
   /**
@@ -417,18 +421,18 @@
    *
    * @return empty if the endpoint accepts no requests for another reason
    */
-  Optional<Duration> untilConditionsHold(String entry, List<String> regionEntries, Instant now) {
-    if (!inService(now)) {
+  Optional<Duration> timeUntilAdmitted(String entry, List<String> regionEntries, Instant now) {
+    if (!isInService(now)) {
       return Optional.empty();
     }
-    Duration rate = rateLimit().untilAdmitted(rateSenders(entry, regionEntries), now);
-    Duration pause = conditions.remainingPause(now);
-    return Optional.of(rate.compareTo(pause) > 0 ? rate : pause);
+    Duration rateDelay = rateLimit().untilAdmitted(rateSenderCount(entry, regionEntries), now);
+    Duration remainingPause = conditions.remainingPause(now);
+    return Optional.of(rateDelay.compareTo(remainingPause) > 0 ? rateDelay : remainingPause);
   }
 
   /** Returns whether this entry may send one more request to the endpoint now while it is cold. */
-  public boolean coldPauseOver(Instant now) {
-    return !coldSentAt.plus(COLD_PAUSE).isAfter(now);
+  public boolean admitsColdRequest(Instant now) {
+    return !lastColdRequestAt.plus(MIN_COLD_REQUEST_INTERVAL).isAfter(now);
   }
 
   /**
@@ -440,31 +444,33 @@
    * behind them from 0.6 s to 2.5 s.
    */
   public boolean isPrefixSource(Instant now) {
-    return acceptsRequests(now) && !isSuspect(now) && failureScore(now) < MOST_FAILURES_OF_SOURCE;
+    return acceptsRequests(now) && !isSuspect(now) && failureScore(now) < MAX_SOURCE_FAILURE_SCORE;
   }
 
   /** Returns whether the endpoint is unresponsive or in backoff after an unresponsive period. */
   public boolean isSuspect(Instant now) {
-    return owesAnswers(now) || silentUntil.isAfter(now);
+    return isUnresponsive(now) || unresponsiveBackoffUntil.isAfter(now);
   }
 
   /**
    * Returns whether the endpoint is unresponsive: it has an overdue response and has sent no byte
    * for too long.
    */
-  public boolean owesAnswers(Instant now) {
-    Instant limit = now.minus(SUSPICIOUS_SILENCE);
-    return !open.isEmpty() && open.get(0).sentAt.isBefore(limit) && lastByteAt.isBefore(limit);
+  public boolean isUnresponsive(Instant now) {
+    Instant cutoff = now.minus(UNRESPONSIVE_TIMEOUT);
+    return !openRequests.isEmpty()
+        && openRequests.get(0).sentAt.isBefore(cutoff)
+        && lastByteAt.isBefore(cutoff);
   }
 
   /** Returns whether the endpoint rejected a request a moment ago because it was full. */
-  public boolean saidFull(Instant now) {
-    return busyUntil.isAfter(now);
+  public boolean isFull(Instant now) {
+    return fullUntil.isAfter(now);
   }
 
   /** Returns how many tokens of the prompt the endpoint would have to prefill or fetch. */
   public long uncachedTokens(PlacementRequest request) {
-    return Math.max(0, request.promptTokens() - prefixes.heldTokensOf(request.parts()));
+    return Math.max(0, request.promptTokens() - expectedPrefixes.cachedTokensOf(request.parts()));
   }
 
   /**
@@ -472,8 +478,8 @@
    * to this entry or to another one.
    */
   public void recordPrefix(List<PromptPart> parts, long kvCapacityTokens) {
-    prefixes.read(parts, kvCapacityTokens);
-    readPrefixes.read(parts, kvCapacityTokens);
+    expectedPrefixes.add(parts, kvCapacityTokens);
+    confirmedPrefixes.add(parts, kvCapacityTokens);
   }
 
   /**
@@ -482,55 +488,53 @@
    * prefilling do not count.
    */
   public long fetchableTokens(PlacementRequest request) {
-    return readPrefixes.heldTokensOf(request.sharedParts());
+    return confirmedPrefixes.cachedTokensOf(request.sharedParts());
   }
 
   private double tokensAhead(int priority, Instant now) {
-    return reading.tokensAhead(priority, prefillTokensPerMilli(priority), now);
+    return prefillQueue.tokensAhead(priority, prefillTokensPerMilli(priority), now);
   }
 
   /** Returns the number of all entries' requests in flight at the endpoint. */
   public int allRunning(Instant now) {
-    int all = running;
-    for (PeerWork peer : peers.values()) {
-      if (peer.at.plus(ReadingQueue.PEER_REPORT_VALID).isAfter(now)) {
-        all += peer.running;
+    int total = inFlight;
+    for (PeerLoad peer : peerLoads.values()) {
+      if (peer.receivedAt.plus(PrefillQueue.PEER_REPORT_TTL).isAfter(now)) {
+        total += peer.inFlight;
       }
     }
-    return all;
+    return total;
   }
 
   /** Returns the estimated time until a request of this priority starts to be processed, in ms. */
   public double waitMillis(int priority, Instant now) {
     int slots = Math.max(1, record.slots());
-    int over = allRunning(now) + 1 - slots;
-    double slotWait = over > 0 ? serviceMillis * over / slots : 0;
+    int excess = allRunning(now) + 1 - slots;
+    double slotWait = excess > 0 ? serviceTimeMillis * excess / slots : 0;
     return tokensAhead(priority, now) / prefillTokensPerMilli(priority) + slotWait;
   }
 
   /** Returns the estimated time per output token, in ms. */
   public double tokenMillis(Instant now) {
-    return pace.millisPerToken(now);
+    return outputTokenTime.millisPerToken(now);
   }
 
-  /**
-   * Returns the estimated time from sending a request to the first byte of its response, in ms.
-   */
+  /** Returns the estimated time from sending a request to the first byte of its response, in ms. */
   public double firstByteMillis(PlacementRequest request, Instant now) {
-    return waitMillis(request.priority(), now) + readMillis(request, uncachedTokens(request));
+    return waitMillis(request.priority(), now) + prefillMillis(request, uncachedTokens(request));
   }
 
   /** Returns the estimated time to prefill some tokens of a request, in ms. */
-  public double readMillis(PlacementRequest request, long tokens) {
+  public double prefillMillis(PlacementRequest request, long tokens) {
     return tokens / prefillTokensPerMilli(request.priority());
   }
 
   /** Returns the prefill speed measured for a priority, in prompt tokens a millisecond. */
   public double prefillTokensPerMilli(int priority) {
-    return tokensPerMilli[bounded(priority)];
+    return prefillTokensPerMilli[clampPriority(priority)];
   }
 
-  private static int bounded(int priority) {
+  private static int clampPriority(int priority) {
     return Math.max(0, Math.min(PRIORITIES - 1, priority));
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/KeepAlivePolicy.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/KeepAlivePolicy.java
@@ -20,23 +20,23 @@
  */
 public final class KeepAlivePolicy {
   /** Used if an endpoint advertises no timeout. */
-  private static final Duration DEFAULT_KEEP = Duration.ofSeconds(4);
+  private static final Duration DEFAULT_TIMEOUT = Duration.ofSeconds(4);
 
   /** Subtracted from the advertised timeout, which is in whole seconds. */
-  private static final Duration STATED_MARGIN = Duration.ofSeconds(1);
+  private static final Duration ADVERTISED_MARGIN = Duration.ofSeconds(1);
 
-  private static final Duration SHORTEST_STATED = Duration.ofMillis(400);
+  private static final Duration MIN_ADVERTISED_TIMEOUT = Duration.ofMillis(400);
 
   /** Timeout after early closes; no endpoint closes a connection that was idle for less. */
-  private static final Duration SHORT_KEEP = Duration.ofMillis(200);
+  private static final Duration EARLY_CLOSE_TIMEOUT = Duration.ofMillis(200);
 
   /**
    * How long a reset counts: early closes occur over periods of seconds, and new ones are detected
    * at once.
    */
-  private static final Duration REMEMBERED = Duration.ofSeconds(20);
+  private static final Duration EARLY_CLOSE_RETENTION = Duration.ofSeconds(20);
 
-  private final Map<String, Instant> droppedAt = new HashMap<>();
+  private final Map<String, Instant> lastEarlyCloseAt = new HashMap<>();
 
   /**
    * Records that a connection was reset before any byte of a response.
@@ -44,10 +44,10 @@
    * @param address the endpoint's address
    * @param idle how long the connection had been idle
    */
-  public void recordReset(String address, Duration rested, Instant now) {
-    droppedAt.values().removeIf(at -> !at.plus(REMEMBERED).isAfter(now));
-    if (rested.compareTo(SHORT_KEEP) >= 0) {
-      droppedAt.put(address, now);
+  public void recordReset(String address, Duration idle, Instant now) {
+    lastEarlyCloseAt.values().removeIf(at -> !at.plus(EARLY_CLOSE_RETENTION).isAfter(now));
+    if (idle.compareTo(EARLY_CLOSE_TIMEOUT) >= 0) {
+      lastEarlyCloseAt.put(address, now);
     }
   }
 
@@ -56,16 +56,19 @@
    *
    * @param advertised the timeout that the endpoint advertises, if any
    */
-  public Duration idleTimeout(String address, Optional<Duration> stated, Instant now) {
-    Duration keep = stated.map(s -> s.minus(STATED_MARGIN)).orElse(DEFAULT_KEEP);
-    Duration believed = keep.compareTo(SHORTEST_STATED) < 0 ? SHORTEST_STATED : keep;
-    return dropsEarly(address, now) ? SHORT_KEEP : believed;
+  public Duration idleTimeout(String address, Optional<Duration> advertised, Instant now) {
+    Duration timeout = advertised.map(s -> s.minus(ADVERTISED_MARGIN)).orElse(DEFAULT_TIMEOUT);
+    Duration boundedTimeout =
+        timeout.compareTo(MIN_ADVERTISED_TIMEOUT) < 0 ? MIN_ADVERTISED_TIMEOUT : timeout;
+    return closesEarly(address, now) ? EARLY_CLOSE_TIMEOUT : boundedTimeout;
   }
 
-  private boolean dropsEarly(String address, Instant now) {
+  private boolean closesEarly(String address, Instant now) {
     long recent =
-        droppedAt.values().stream().filter(at -> at.plus(REMEMBERED).isAfter(now)).count();
-    Instant here = droppedAt.getOrDefault(address, Instant.EPOCH);
-    return recent > 1 || here.plus(REMEMBERED).isAfter(now);
+        lastEarlyCloseAt.values().stream()
+            .filter(at -> at.plus(EARLY_CLOSE_RETENTION).isAfter(now))
+            .count();
+    Instant lastCloseAt = lastEarlyCloseAt.getOrDefault(address, Instant.EPOCH);
+    return recent > 1 || lastCloseAt.plus(EARLY_CLOSE_RETENTION).isAfter(now);
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/TokenPace.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/OutputTokenTime.java
@@ -15,7 +15,7 @@
  *
  * <p>Not thread-safe: confined to the entry's event loop thread.
  */
-final class TokenPace {
+final class OutputTokenTime {
   /** Time per output token assumed without samples: a large model's step with a few streams. */
   static final double INITIAL_MILLIS = 10;
 
@@ -23,17 +23,17 @@
   private static final double HALF_LIFE_MILLIS = 500;
 
   /** Weight, in tokens, of the assumption that an engine without samples is idle. */
-  private static final double IDLE_WEIGHT = 4;
+  private static final double IDLE_WEIGHT_TOKENS = 4;
 
   /**
    * Upper bound of a sampled interval: longer ones are caused by the transport of the stream, not
    * by the engine.
    */
-  private static final double LONGEST_PAUSE_MILLIS = 2_000;
+  private static final double MAX_INTERVAL_MILLIS = 2_000;
 
-  private double millis;
-  private double tokens;
-  private Instant at = Instant.EPOCH;
+  private double weightedMillis;
+  private double weightedTokens;
+  private Instant lastSampleAt = Instant.EPOCH;
 
   /**
    * Adds a sample.
@@ -41,21 +41,22 @@
    * @param interval the time between two events, or two groups of events, of one response
    * @param newTokens the number of tokens received at its end
    */
-  void sample(Duration pause, long newTokens, Instant now) {
-    double kept = kept(now);
-    millis = millis * kept + Math.min(LONGEST_PAUSE_MILLIS, pause.toMillis());
-    tokens = tokens * kept + newTokens;
-    at = now;
+  void addSample(Duration interval, long newTokens, Instant now) {
+    double decay = decayFactor(now);
+    weightedMillis = weightedMillis * decay + Math.min(MAX_INTERVAL_MILLIS, interval.toMillis());
+    weightedTokens = weightedTokens * decay + newTokens;
+    lastSampleAt = now;
   }
 
   /** Returns the estimated time per output token, in ms. */
   double millisPerToken(Instant now) {
-    double kept = kept(now);
-    return (millis * kept + IDLE_WEIGHT * INITIAL_MILLIS) / (tokens * kept + IDLE_WEIGHT);
+    double decay = decayFactor(now);
+    return (weightedMillis * decay + IDLE_WEIGHT_TOKENS * INITIAL_MILLIS)
+        / (weightedTokens * decay + IDLE_WEIGHT_TOKENS);
   }
 
-  private double kept(Instant now) {
-    double age = Math.max(0, Duration.between(at, now).toMillis());
-    return Math.pow(0.5, Math.min(100, age / HALF_LIFE_MILLIS));
+  private double decayFactor(Instant now) {
+    double ageMillis = Math.max(0, Duration.between(lastSampleAt, now).toMillis());
+    return Math.pow(0.5, Math.min(100, ageMillis / HALF_LIFE_MILLIS));
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PlacementMechanism.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PlacementMechanism.java
@@ -26,13 +26,13 @@
    * @throws IllegalArgumentException if a name is unknown; its message lists the valid names
    */
   public static Set<PlacementMechanism> parse(String names) {
-    Set<PlacementMechanism> named = EnumSet.noneOf(PlacementMechanism.class);
+    Set<PlacementMechanism> mechanisms = EnumSet.noneOf(PlacementMechanism.class);
     for (String name : names.split(",")) {
       if (!name.isBlank()) {
-        named.add(byName(name.trim()));
+        mechanisms.add(byName(name.trim()));
       }
     }
-    return named;
+    return mechanisms;
   }
 
   private static PlacementMechanism byName(String name) {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placer.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placer.java
@@ -29,26 +29,26 @@
  */
 public record Placer(int coldSenders, RandomGenerator random) {
   /** Round trip to another region plus the processing time of the relaying entry. */
-  static final double REGION_MILLIS = 130;
+  static final double CROSS_REGION_MILLIS = 130;
 
   /**
    * Advantage that another region's estimate must have to be preferred: such estimates are stale.
    */
-  static final double REGION_MARGIN_MILLIS = 120;
+  static final double CROSS_REGION_MARGIN_MILLIS = 120;
 
   /** Penalty for each recent failure of an endpoint. */
-  private static final double FAILURE_MILLIS = 400;
+  private static final double FAILURE_PENALTY_MILLIS = 400;
 
   /**
    * Penalty for endpoints other than the first in rendezvous order, so that ties go to the first.
    */
-  private static final double RANK_MILLIS = 4;
+  private static final double RANK_PENALTY_MILLIS = 4;
 
   /**
    * Weight, on top of the time itself, of prefilling shared prefix tokens that another endpoint
    * already caches: it also evicts other prefixes from the cache.
    */
-  private static final double READ_AGAIN_FACTOR = 8;
+  private static final double DUPLICATE_PREFILL_FACTOR = 8;
 
   /**
    * Weight of a fetched token relative to a prefilled one: a fetch loads both endpoints' links and
@@ -60,16 +60,16 @@
    * Minimum number of tokens to fetch: for fewer, setting up the fetch takes as long as the
    * prefill.
    */
-  private static final long LEAST_FETCH_TOKENS = 400;
+  private static final long MIN_FETCH_TOKENS = 400;
 
   /** Minimum ratio of the prefill time to the transfer time for which a prefix is fetched. */
-  private static final double LEAST_FETCH_GAIN = 2;
+  private static final double MIN_FETCH_SPEEDUP = 2;
 
   /**
    * Share of the objective up to which an estimated time to the first byte is expected to be on
    * time despite estimation errors.
    */
-  private static final double SAFE_SHARE = 0.5;
+  private static final double SAFE_OBJECTIVE_SHARE = 0.5;
 
   /**
    * Additional weight of each ms beyond that share: a late response is worse than a prefix that is
@@ -78,16 +78,16 @@
   private static final double LATENESS_FACTOR = 2;
 
   /** Minimum share of the objective that a request may wait, even if its prompt is long. */
-  private static final double LEAST_PATIENCE = 0.2;
+  private static final double MIN_WAIT_SHARE = 0.2;
 
   /**
    * Share of the objective reserved for delays that cannot be estimated: urgent requests that
    * arrive later, batch steps of other requests, the network.
    */
-  private static final double RESERVE_SHARE = 0.35;
+  private static final double RESERVED_OBJECTIVE_SHARE = 0.35;
 
   /** Share of the remaining time that a request to a plain service may wait. */
-  private static final double PLAIN_SHARE = 0.3;
+  private static final double PLAIN_SERVICE_WAIT_SHARE = 0.3;
 
   /**
    * Share of the overflow sent to another region while both regions meet the objective: all entries
@@ -98,19 +98,19 @@
   /**
    * Share of a shared prefix assumed to be cached in another region, whose own callers use it too.
    */
-  private static final double SHARED_HELD_ELSEWHERE = 0.5;
+  private static final double REMOTE_CACHED_SHARE = 0.5;
 
   /**
    * Share of a shared prefix assumed to be cached or fetchable in another region if engines fetch
    * missing KV cache from each other.
    */
-  private static final double SHARED_FETCHED_ELSEWHERE = 0.95;
+  private static final double REMOTE_FETCHABLE_SHARE = 0.95;
 
   /** Minimum retry delay returned to a refused caller. */
   private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(300);
 
   /** Callers honour a retry delay of at most the remaining time divided by this. */
-  private static final int RETRY_AFTER_DIVISOR = 3;
+  private static final int MAX_RETRY_AFTER_DIVISOR = 3;
 
   /**
    * The inputs of a placement besides the request.
@@ -145,67 +145,75 @@
   }
 
   /** An endpoint and the number of leading prompt tokens that others may fetch from it. */
-  private record Holder(EndpointTracker endpoint, long tokens) {}
+  private record CacheHolder(EndpointTracker endpoint, long tokens) {}
 
-  private record Scored(
+  private record ScoredEndpoint(
       EndpointTracker endpoint,
-      double readMillis,
+      double prefillMillis,
       double firstByteMillis,
       double score,
       Optional<Placement.PrefixFetch> fetch) {}
 
   /** Places a request. */
-  public Placement place(PlacementRequest request, Context around, Instant now) {
-    Optional<Scored> here = homeHere(around) ? bestHere(request, around, now) : Optional.empty();
-    Optional<RegionLoads.Offer> elsewhere =
-        around
+  public Placement place(PlacementRequest request, Context context, Instant now) {
+    Optional<ScoredEndpoint> local =
+        allowsThisRegion(context) ? bestLocal(request, context, now) : Optional.empty();
+    Optional<RegionLoads.Candidate> remote =
+        context
             .regions()
-            .flatMap(r -> r.best(request, around.allowedRegions(), around.excludedRegions(), now));
-    double patience = patienceMillis(request, here.map(Scored::readMillis).orElse(0.0));
-    boolean goodHere = here.isPresent() && waitHere(here.get(), request, now) <= patience;
-    boolean goodElsewhere =
-        elsewhere.isPresent() && elsewhere.get().waitMillis() + REGION_MILLIS <= patience;
-    boolean betterElsewhere =
-        goodElsewhere
-            && goodHere
-            && (silent(here.get().endpoint(), around, now)
-                || clearlySooner(here.get(), elsewhere.get(), request, around));
-    if (goodHere && !betterElsewhere) {
-      Scored best = here.get();
+            .flatMap(
+                r -> r.best(request, context.allowedRegions(), context.excludedRegions(), now));
+    double maxWait = maxWaitMillis(request, local.map(ScoredEndpoint::prefillMillis).orElse(0.0));
+    boolean localAcceptable =
+        local.isPresent() && localWaitMillis(local.get(), request, now) <= maxWait;
+    boolean remoteAcceptable =
+        remote.isPresent() && remote.get().waitMillis() + CROSS_REGION_MILLIS <= maxWait;
+    boolean preferRemote =
+        remoteAcceptable
+            && localAcceptable
+            && (isUnresponsive(local.get().endpoint(), context, now)
+                || isClearlyFaster(local.get(), remote.get(), request, context));
+    if (localAcceptable && !preferRemote) {
+      ScoredEndpoint best = local.get();
       double tokenMillis = best.endpoint().tokenMillis(now);
       return new Placement.ToEndpoint(
           best.endpoint(), best.firstByteMillis(), tokenMillis, best.fetch());
     }
-    if (goodElsewhere) {
+    if (remoteAcceptable) {
       return new Placement.ToRegion(
-          elsewhere.get().region(), firstByteElsewhere(elsewhere.get(), request, around));
+          remote.get().region(), remoteFirstByteMillis(remote.get(), request, context));
     }
-    return refuse(request, around, here, elsewhere, patience, now);
+    return refuse(request, context, local, remote, maxWait, now);
   }
 
-  private static boolean homeHere(Context around) {
-    return around.allowedRegions().isEmpty() || around.allowedRegions().contains(around.region());
+  private static boolean allowsThisRegion(Context context) {
+    return context.allowedRegions().isEmpty()
+        || context.allowedRegions().contains(context.region());
   }
 
   /**
    * Returns the estimated time to the first byte of a request sent to another region, which
    * prefills all prompt tokens that it does not find in a cache.
    */
-  private static double firstByteElsewhere(
-      RegionLoads.Offer offer, PlacementRequest request, Context around) {
-    double held = fetches(around) ? SHARED_FETCHED_ELSEWHERE : SHARED_HELD_ELSEWHERE;
-    double tokens = request.promptTokens() - held * request.sharedTokens();
-    return offer.waitMillis() + REGION_MILLIS + tokens / RegionLoads.ASSUMED_TOKENS_PER_MILLI;
+  private static double remoteFirstByteMillis(
+      RegionLoads.Candidate remote, PlacementRequest request, Context context) {
+    double cachedShare = supportsFetch(context) ? REMOTE_FETCHABLE_SHARE : REMOTE_CACHED_SHARE;
+    double prefillTokens = request.promptTokens() - cachedShare * request.sharedTokens();
+    return remote.waitMillis()
+        + CROSS_REGION_MILLIS
+        + prefillTokens / RegionLoads.ASSUMED_PREFILL_TOKENS_PER_MILLI;
   }
 
-  private static double answeredElsewhere(
-      RegionLoads.Offer offer, PlacementRequest request, Context around) {
-    double pace = around.uses(PlacementMechanism.TOKEN_PACE) ? offer.tokenMillis() : 0;
-    return firstByteElsewhere(offer, request, around) + request.expectedOutputTokens() * pace;
+  private static double remoteResponseMillis(
+      RegionLoads.Candidate remote, PlacementRequest request, Context context) {
+    double tokenMillis = context.uses(PlacementMechanism.TOKEN_PACE) ? remote.tokenMillis() : 0;
+    return remoteFirstByteMillis(remote, request, context)
+        + request.expectedOutputTokens() * tokenMillis;
   }
 
-  private static double waitHere(Scored here, PlacementRequest request, Instant now) {
-    return here.endpoint().waitMillis(request.priority(), now);
+  private static double localWaitMillis(
+      ScoredEndpoint local, PlacementRequest request, Instant now) {
+    return local.endpoint().waitMillis(request.priority(), now);
   }
 
   /**
@@ -215,71 +223,73 @@
    * response delays no other request, so they may wait for as long as a response still reaches
    * their callers.
    */
-  private static double patienceMillis(PlacementRequest request, double readMillis) {
+  private static double maxWaitMillis(PlacementRequest request, double prefillMillis) {
     double objective = request.firstByteObjective().toMillis();
     double remaining = request.remaining().toMillis();
     if (request.promptTokens() == 0) {
-      return Math.min(remaining / 2, Math.max(objective, PLAIN_SHARE * remaining));
+      return Math.min(remaining / 2, Math.max(objective, PLAIN_SERVICE_WAIT_SHARE * remaining));
     }
-    double inTime = (1 - RESERVE_SHARE) * objective - readMillis;
-    return Math.min(remaining / 2, Math.max(LEAST_PATIENCE * objective, inTime));
+    double onTimeWait = (1 - RESERVED_OBJECTIVE_SHARE) * objective - prefillMillis;
+    return Math.min(remaining / 2, Math.max(MIN_WAIT_SHARE * objective, onTimeWait));
   }
 
-  private static boolean silent(EndpointTracker endpoint, Context around, Instant now) {
-    return around.uses(PlacementMechanism.SILENCE_MEMORY)
+  private static boolean isUnresponsive(EndpointTracker endpoint, Context context, Instant now) {
+    return context.uses(PlacementMechanism.SILENCE_MEMORY)
         ? endpoint.isSuspect(now)
-        : endpoint.owesAnswers(now);
+        : endpoint.isUnresponsive(now);
   }
 
-  private boolean clearlySooner(
-      Scored here, RegionLoads.Offer elsewhere, PlacementRequest request, Context around) {
+  private boolean isClearlyFaster(
+      ScoredEndpoint local,
+      RegionLoads.Candidate remote,
+      PlacementRequest request,
+      Context context) {
     double gain =
-        here.score() - answeredElsewhere(elsewhere, request, around) - REGION_MARGIN_MILLIS;
+        local.score() - remoteResponseMillis(remote, request, context) - CROSS_REGION_MARGIN_MILLIS;
     return gain > 0 && random.nextDouble() < OVERFLOW_SHARE;
   }
 
   private Placement refuse(
       PlacementRequest request,
-      Context around,
-      Optional<Scored> here,
-      Optional<RegionLoads.Offer> elsewhere,
-      double patience,
+      Context context,
+      Optional<ScoredEndpoint> local,
+      Optional<RegionLoads.Candidate> remote,
+      double maxWait,
       Instant now) {
-    OptionalDouble waitHere =
-        here.isPresent()
-            ? OptionalDouble.of(waitHere(here.get(), request, now))
-            : OptionalDouble.empty();
-    OptionalDouble waitElsewhere =
-        elsewhere.isPresent()
-            ? OptionalDouble.of(elsewhere.get().waitMillis())
+    OptionalDouble localWait =
+        local.isPresent()
+            ? OptionalDouble.of(localWaitMillis(local.get(), request, now))
             : OptionalDouble.empty();
-    Placement.RefusalDetails evidence =
-        new Placement.RefusalDetails(
-            rounded(waitHere), rounded(waitElsewhere), Math.round(patience));
-    if (here.isEmpty() && elsewhere.isEmpty()) {
-      Optional<Duration> pause =
-          homeHere(around) ? pauseHere(request, around, now) : Optional.empty();
+    OptionalDouble remoteWait =
+        remote.isPresent() ? OptionalDouble.of(remote.get().waitMillis()) : OptionalDouble.empty();
+    Placement.RefusalDetails details =
+        new Placement.RefusalDetails(rounded(localWait), rounded(remoteWait), Math.round(maxWait));
+    if (local.isEmpty() && remote.isEmpty()) {
+      Optional<Duration> retryDelay =
+          allowsThisRegion(context) ? localRetryDelay(request, context, now) : Optional.empty();
       return new Placement.Refused(
-          pause.isPresent() ? Placement.Reason.PACED : Placement.Reason.NO_ENDPOINT,
-          bounded(pause.orElse(Duration.ofSeconds(1)), request),
-          evidence);
+          retryDelay.isPresent() ? Placement.Reason.PACED : Placement.Reason.NO_ENDPOINT,
+          boundRetryAfter(retryDelay.orElse(Duration.ofSeconds(1)), request),
+          details);
     }
-    double wait =
-        Math.min(waitHere.orElse(Double.MAX_VALUE), waitElsewhere.orElse(Double.MAX_VALUE));
-    Duration until = Duration.ofMillis(Math.round(Math.min(10_000, wait - patience / 2)));
-    return new Placement.Refused(Placement.Reason.OVERLOADED, bounded(until, request), evidence);
+    double shortestWait =
+        Math.min(localWait.orElse(Double.MAX_VALUE), remoteWait.orElse(Double.MAX_VALUE));
+    Duration retryDelay =
+        Duration.ofMillis(Math.round(Math.min(10_000, shortestWait - maxWait / 2)));
+    return new Placement.Refused(
+        Placement.Reason.OVERLOADED, boundRetryAfter(retryDelay, request), details);
   }
 
   /**
    * Returns the shortest time until an endpoint that is limited only by its advertised conditions
    * accepts a request again.
    */
-  private static Optional<Duration> pauseHere(
-      PlacementRequest request, Context around, Instant now) {
-    return around.endpoints().stream()
+  private static Optional<Duration> localRetryDelay(
+      PlacementRequest request, Context context, Instant now) {
+    return context.endpoints().stream()
         .filter(e -> !request.excludedEndpoints().contains(e.record().id()))
-        .flatMap(e -> e.untilConditionsHold(around.entry(), around.regionEntries(), now).stream())
-        .filter(pause -> !pause.isZero())
+        .flatMap(e -> e.timeUntilAdmitted(context.entry(), context.regionEntries(), now).stream())
+        .filter(delay -> !delay.isZero())
         .min(Comparator.naturalOrder());
   }
 
@@ -289,119 +299,125 @@
         : OptionalLong.empty();
   }
 
-  private static Duration bounded(Duration wanted, PlacementRequest request) {
-    Duration most = request.remaining().dividedBy(RETRY_AFTER_DIVISOR);
-    Duration atLeast = wanted.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : wanted;
-    return atLeast.compareTo(most) > 0 ? most : atLeast;
+  private static Duration boundRetryAfter(Duration delay, PlacementRequest request) {
+    Duration max = request.remaining().dividedBy(MAX_RETRY_AFTER_DIVISOR);
+    Duration atLeast = delay.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : delay;
+    return atLeast.compareTo(max) > 0 ? max : atLeast;
   }
 
-  private Optional<Scored> bestHere(PlacementRequest request, Context around, Instant now) {
+  private Optional<ScoredEndpoint> bestLocal(
+      PlacementRequest request, Context context, Instant now) {
     List<EndpointTracker> usable =
-        around.endpoints().stream().filter(e -> usable(e, request, around, now)).toList();
-    List<EndpointTracker> sound =
-        usable.stream().filter(e -> !silent(e, around, now) && !e.saidFull(now)).toList();
-    List<EndpointTracker> candidates = sound.isEmpty() ? usable : sound;
-    Optional<EndpointTracker> first =
+        context.endpoints().stream().filter(e -> isUsable(e, request, context, now)).toList();
+    List<EndpointTracker> healthy =
+        usable.stream().filter(e -> !isUnresponsive(e, context, now) && !e.isFull(now)).toList();
+    List<EndpointTracker> candidates = healthy.isEmpty() ? usable : healthy;
+    Optional<EndpointTracker> firstRanked =
         Rendezvous.owner(candidates, e -> e.record().id(), request.sharedKey());
-    List<Holder> holders = holders(request, around);
+    List<CacheHolder> holders = cacheHolders(request, context);
     return candidates.stream()
-        .map(e -> scored(e, e == first.orElse(null), holders, request, around, now))
+        .map(e -> score(e, e == firstRanked.orElse(null), holders, request, context, now))
         .min(
-            Comparator.comparingDouble(Scored::score)
+            Comparator.comparingDouble(ScoredEndpoint::score)
                 .thenComparing(s -> s.endpoint().record().id()));
   }
 
-  private static Scored scored(
-      EndpointTracker e,
+  private static ScoredEndpoint score(
+      EndpointTracker endpoint,
       boolean firstInRank,
-      List<Holder> holders,
+      List<CacheHolder> holders,
       PlacementRequest request,
-      Context around,
+      Context context,
       Instant now) {
-    long uncached = e.uncachedTokens(request);
+    long uncached = endpoint.uncachedTokens(request);
     long sharedUncached = Math.max(0, uncached - (request.promptTokens() - request.sharedTokens()));
-    Optional<Placement.PrefixFetch> fetch = fetch(e, sharedUncached, holders, request, around);
+    Optional<Placement.PrefixFetch> fetch =
+        bestFetch(endpoint, sharedUncached, holders, request, context);
     long fetched = fetch.map(Placement.PrefixFetch::tokens).orElse(0L);
-    long readAgain = firstInRank && fetch.isEmpty() ? 0 : sharedUncached - fetched;
-    double readMillis = e.readMillis(request, uncached - fetched);
-    double fetchMillis = around.engine().map(engine -> engine.transferMillis(fetched)).orElse(0.0);
-    double millis = e.waitMillis(request.priority(), now) + readMillis + fetchMillis;
-    double pace = around.uses(PlacementMechanism.TOKEN_PACE) ? e.tokenMillis(now) : 0;
+    long duplicateTokens = firstInRank && fetch.isEmpty() ? 0 : sharedUncached - fetched;
+    double prefillMillis = endpoint.prefillMillis(request, uncached - fetched);
+    double fetchMillis = context.engine().map(engine -> engine.transferMillis(fetched)).orElse(0.0);
+    double firstByteMillis =
+        endpoint.waitMillis(request.priority(), now) + prefillMillis + fetchMillis;
+    double tokenMillis =
+        context.uses(PlacementMechanism.TOKEN_PACE) ? endpoint.tokenMillis(now) : 0;
     double score =
-        millis
-            + request.expectedOutputTokens() * pace
-            + READ_AGAIN_FACTOR * e.readMillis(request, readAgain)
-            + FETCH_FACTOR * e.readMillis(request, fetched)
+        firstByteMillis
+            + request.expectedOutputTokens() * tokenMillis
+            + DUPLICATE_PREFILL_FACTOR * endpoint.prefillMillis(request, duplicateTokens)
+            + FETCH_FACTOR * endpoint.prefillMillis(request, fetched)
             + LATENESS_FACTOR
-                * Math.max(0, millis - SAFE_SHARE * request.firstByteObjective().toMillis())
-            + FAILURE_MILLIS * e.recentFailures(now)
-            + (firstInRank ? 0 : RANK_MILLIS);
-    return new Scored(e, readMillis, millis, score, fetch);
+                * Math.max(
+                    0,
+                    firstByteMillis
+                        - SAFE_OBJECTIVE_SHARE * request.firstByteObjective().toMillis())
+            + FAILURE_PENALTY_MILLIS * endpoint.recentFailures(now)
+            + (firstInRank ? 0 : RANK_PENALTY_MILLIS);
+    return new ScoredEndpoint(endpoint, prefillMillis, firstByteMillis, score, fetch);
   }
 
   /**
    * Returns the endpoints that cache a prefix of the prompt long enough to fetch. Computed once per
    * request.
    */
-  private static List<Holder> holders(PlacementRequest request, Context around) {
-    if (request.sharedTokens() < LEAST_FETCH_TOKENS || !fetches(around)) {
+  private static List<CacheHolder> cacheHolders(PlacementRequest request, Context context) {
+    if (request.sharedTokens() < MIN_FETCH_TOKENS || !supportsFetch(context)) {
       return List.of();
     }
-    return around.prefixHolders().stream()
+    return context.prefixHolders().stream()
         .filter(source -> !request.excludedEndpoints().contains(source.record().id()))
-        .map(source -> new Holder(source, source.fetchableTokens(request)))
-        .filter(holder -> holder.tokens() >= LEAST_FETCH_TOKENS)
+        .map(source -> new CacheHolder(source, source.fetchableTokens(request)))
+        .filter(holder -> holder.tokens() >= MIN_FETCH_TOKENS)
         .toList();
   }
 
-  /**
-   * Returns the fetch of the longest prefix of the prompt beyond what the target caches itself.
-   */
-  private static Optional<Placement.PrefixFetch> fetch(
+  /** Returns the fetch of the longest prefix of the prompt beyond what the target caches itself. */
+  private static Optional<Placement.PrefixFetch> bestFetch(
       EndpointTracker target,
       long sharedUncached,
-      List<Holder> holders,
+      List<CacheHolder> holders,
       PlacementRequest request,
-      Context around) {
-    if (sharedUncached < LEAST_FETCH_TOKENS) {
+      Context context) {
+    if (sharedUncached < MIN_FETCH_TOKENS) {
       return Optional.empty();
     }
-    long held = request.sharedTokens() - sharedUncached;
+    long cachedTokens = request.sharedTokens() - sharedUncached;
     return holders.stream()
         .filter(holder -> holder.endpoint() != target)
-        .map(holder -> new Placement.PrefixFetch(holder.endpoint(), holder.tokens() - held))
-        .filter(fetch -> fetch.tokens() >= LEAST_FETCH_TOKENS)
-        .filter(fetch -> worthFetching(fetch.tokens(), target, request, around))
+        .map(holder -> new Placement.PrefixFetch(holder.endpoint(), holder.tokens() - cachedTokens))
+        .filter(fetch -> fetch.tokens() >= MIN_FETCH_TOKENS)
+        .filter(fetch -> isWorthFetching(fetch.tokens(), target, request, context))
         .max(
             Comparator.comparingLong(Placement.PrefixFetch::tokens)
-                .thenComparing(fetch -> sameDomain(fetch.source(), target))
+                .thenComparing(fetch -> inSameDomain(fetch.source(), target))
                 .thenComparing(fetch -> -fetch.source().inFlight()));
   }
 
-  private static boolean fetches(Context around) {
-    return around.uses(PlacementMechanism.PREFIX_FETCH)
-        && around.engine().filter(ServiceSpec.Engine::fetches).isPresent();
+  private static boolean supportsFetch(Context context) {
+    return context.uses(PlacementMechanism.PREFIX_FETCH)
+        && context.engine().filter(ServiceSpec.Engine::fetches).isPresent();
   }
 
-  private static boolean worthFetching(
-      long tokens, EndpointTracker target, PlacementRequest request, Context around) {
-    double transferMillis = around.engine().orElseThrow().transferMillis(tokens);
-    return target.readMillis(request, tokens) >= LEAST_FETCH_GAIN * transferMillis;
+  private static boolean isWorthFetching(
+      long tokens, EndpointTracker target, PlacementRequest request, Context context) {
+    double transferMillis = context.engine().orElseThrow().transferMillis(tokens);
+    return target.prefillMillis(request, tokens) >= MIN_FETCH_SPEEDUP * transferMillis;
   }
 
-  private static boolean sameDomain(EndpointTracker one, EndpointTracker other) {
+  private static boolean inSameDomain(EndpointTracker one, EndpointTracker other) {
     return one.record().failureDomain().equals(other.record().failureDomain());
   }
 
-  private boolean usable(EndpointTracker e, PlacementRequest request, Context around, Instant now) {
-    if (!e.acceptsRequests(now)
-        || request.excludedEndpoints().contains(e.record().id())
-        || e.inFlight() >= around.maxInFlightPerEndpoint()
-        || !e.withinRate(around.entry(), around.regionEntries(), now)) {
+  private boolean isUsable(
+      EndpointTracker endpoint, PlacementRequest request, Context context, Instant now) {
+    if (!endpoint.acceptsRequests(now)
+        || request.excludedEndpoints().contains(endpoint.record().id())
+        || endpoint.inFlight() >= context.maxInFlightPerEndpoint()
+        || !endpoint.withinRate(context.entry(), context.regionEntries(), now)) {
       return false;
     }
-    return !e.isCold(now)
-        || e.coldPauseOver(now)
-            && e.isAmongFirst(around.entry(), around.regionEntries(), coldSenders);
+    return !endpoint.isCold(now)
+        || endpoint.admitsColdRequest(now)
+            && endpoint.isAmongFirst(context.entry(), context.regionEntries(), coldSenders);
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PrefixMemory.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PrefixCacheModel.java
@@ -10,34 +10,34 @@
  * A part counts only if all parts before it are cached too; the least recently used parts are
  * evicted once they exceed the capacity.
  */
-final class PrefixMemory {
+final class PrefixCacheModel {
   /** Share of the KV cache available for prefixes; running requests need the rest. */
   private static final double USABLE_SHARE = 0.6;
 
   private final Map<String, Long> tokensByPart = new LinkedHashMap<>(64, 0.75f, true);
-  private long heldTokens;
+  private long cachedTokens;
 
   /** Returns the estimated number of the prompt's leading tokens that are cached. */
-  long heldTokensOf(List<PromptPart> parts) {
-    long held = 0;
+  long cachedTokensOf(List<PromptPart> parts) {
+    long cached = 0;
     for (PromptPart part : parts) {
       if (!tokensByPart.containsKey(part.id())) {
         break;
       }
-      held += part.tokens();
+      cached += part.tokens();
     }
-    return held;
+    return cached;
   }
 
-  /** Records that the endpoint prefills a prompt. */
-  void read(List<PromptPart> parts, long capacityTokens) {
+  /** Adds the parts of a prompt that the endpoint prefills. */
+  void add(List<PromptPart> parts, long capacityTokens) {
     for (PromptPart part : parts) {
-      Long before = tokensByPart.put(part.id(), part.tokens());
-      heldTokens += part.tokens() - (before == null ? 0 : before);
+      Long previous = tokensByPart.put(part.id(), part.tokens());
+      cachedTokens += part.tokens() - (previous == null ? 0 : previous);
     }
     Iterator<Long> oldest = tokensByPart.values().iterator();
-    while (heldTokens > capacityTokens * USABLE_SHARE && oldest.hasNext()) {
-      heldTokens -= oldest.next();
+    while (cachedTokens > capacityTokens * USABLE_SHARE && oldest.hasNext()) {
+      cachedTokens -= oldest.next();
       oldest.remove();
     }
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/RegionLoads.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/RegionLoads.java
@@ -20,21 +20,21 @@
    * reports its load twice a second, and a request relayed to a disconnected region waits until it
    * times out.
    */
-  private static final Duration VALID = Duration.ofMillis(1_300);
+  private static final Duration REPORT_TTL = Duration.ofMillis(1_300);
 
   /** How long no request is relayed to a region after a relay failed to reach it. */
-  private static final Duration FAILED_PAUSE = Duration.ofMillis(1_500);
+  private static final Duration UNREACHABLE_BACKOFF = Duration.ofMillis(1_500);
 
   /** Prefill speed assumed for another region's endpoints. */
-  static final double ASSUMED_TOKENS_PER_MILLI = 60;
+  static final double ASSUMED_PREFILL_TOKENS_PER_MILLI = 60;
 
-  private record Heard(ServiceLoad load, Instant at) {}
+  private record Report(ServiceLoad load, Instant receivedAt) {}
 
-  private record Key(String region, String service) {}
+  private record ServiceKey(String region, String service) {}
 
-  private final Map<Key, Heard> heard = new HashMap<>();
-  private final Map<Key, Long> sentTokens = new HashMap<>();
-  private final Map<String, Instant> failedAt = new HashMap<>();
+  private final Map<ServiceKey, Report> reports = new HashMap<>();
+  private final Map<ServiceKey, Long> relayedTokens = new HashMap<>();
+  private final Map<String, Instant> unreachableAt = new HashMap<>();
 
   /**
    * A region that can run a request.
@@ -43,17 +43,17 @@
    * @param waitMillis the estimated wait there
    * @param tokenMillis the estimated time per output token there
    */
-  public record Offer(String region, double waitMillis, double tokenMillis) {
-    private double answeredMillis(PlacementRequest request) {
+  public record Candidate(String region, double waitMillis, double tokenMillis) {
+    private double responseMillis(PlacementRequest request) {
       return waitMillis + request.expectedOutputTokens() * tokenMillis;
     }
   }
 
   /** Replaces a region's last report for a service. */
   public void update(String region, ServiceLoad load, Instant now) {
-    Key key = new Key(region, load.service());
-    heard.put(key, new Heard(load, now));
-    sentTokens.remove(key);
+    ServiceKey key = new ServiceKey(region, load.service());
+    reports.put(key, new Report(load, now));
+    relayedTokens.remove(key);
   }
 
   /**
@@ -65,48 +65,54 @@
    */
   public void recordRelayed(String region, PlacementRequest request, int senders) {
     long tokens = request.promptTokens() * Math.max(1, senders);
-    sentTokens.merge(new Key(region, request.service()), tokens, Long::sum);
+    relayedTokens.merge(new ServiceKey(region, request.service()), tokens, Long::sum);
   }
 
   /** Records that a region could not be reached. */
   public void recordUnreachable(String region, Instant now) {
-    failedAt.put(region, now);
+    unreachableAt.put(region, now);
   }
 
   /** Returns whether a region is known to have endpoints of a service that accept requests. */
   public boolean serves(String region, String service, Instant now) {
-    Heard h = heard.get(new Key(region, service));
-    return h != null && h.load.endpoints() > 0 && h.at.plus(VALID).isAfter(now);
+    Report report = reports.get(new ServiceKey(region, service));
+    return report != null
+        && report.load.endpoints() > 0
+        && report.receivedAt.plus(REPORT_TTL).isAfter(now);
   }
 
   /** Returns the allowed region with the lowest estimated response time, if any is reachable. */
-  public Optional<Offer> best(
+  public Optional<Candidate> best(
       PlacementRequest request, Set<String> allowed, Set<String> excluded, Instant now) {
-    Optional<Offer> best = Optional.empty();
-    for (Map.Entry<Key, Heard> e : heard.entrySet()) {
+    Optional<Candidate> best = Optional.empty();
+    for (Map.Entry<ServiceKey, Report> e : reports.entrySet()) {
       String region = e.getKey().region();
       boolean usable =
           e.getKey().service().equals(request.service())
               && (allowed.isEmpty() || allowed.contains(region))
               && !excluded.contains(region)
               && serves(region, request.service(), now)
-              && !failedAt.getOrDefault(region, Instant.EPOCH).plus(FAILED_PAUSE).isAfter(now);
+              && !unreachableAt
+                  .getOrDefault(region, Instant.EPOCH)
+                  .plus(UNREACHABLE_BACKOFF)
+                  .isAfter(now);
       if (usable) {
         ServiceLoad load = e.getValue().load;
         double wait = waitMillis(e.getKey(), load, request.priority());
-        Offer offer = new Offer(region, wait, load.tokenMillis());
-        if (best.isEmpty() || offer.answeredMillis(request) < best.get().answeredMillis(request)) {
-          best = Optional.of(offer);
+        Candidate candidate = new Candidate(region, wait, load.tokenMillis());
+        if (best.isEmpty()
+            || candidate.responseMillis(request) < best.get().responseMillis(request)) {
+          best = Optional.of(candidate);
         }
       }
     }
     return best;
   }
 
-  private double waitMillis(Key key, ServiceLoad load, int priority) {
+  private double waitMillis(ServiceKey key, ServiceLoad load, int priority) {
     long[] waits = load.waitMillis();
-    double told = waits.length == 0 ? 0 : waits[Math.min(priority, waits.length - 1)];
-    double sent = sentTokens.getOrDefault(key, 0L);
-    return told + sent / (ASSUMED_TOKENS_PER_MILLI * load.endpoints());
+    double reportedMillis = waits.length == 0 ? 0 : waits[Math.min(priority, waits.length - 1)];
+    double relayed = relayedTokens.getOrDefault(key, 0L);
+    return reportedMillis + relayed / (ASSUMED_PREFILL_TOKENS_PER_MILLI * load.endpoints());
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/TrackedEndpoints.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/TrackedEndpoints.java
@@ -27,20 +27,20 @@
    * Age up to which a record may be missing from another control instance's complete roster,
    * because control instances receive announcements of new endpoints at different times.
    */
-  private static final Duration ROSTER_SPREAD = Duration.ofSeconds(3);
+  private static final Duration ROSTER_PROPAGATION_TIME = Duration.ofSeconds(3);
 
-  private static final int CONDITIONS_KEPT = 4_096;
+  private static final int MAX_CONDITIONS = 4_096;
 
   private final EndpointRoster roster = new EndpointRoster();
   private final Map<String, EndpointTracker> trackers = new TreeMap<>();
-  private final Map<String, Instant> knownSince = new HashMap<>();
+  private final Map<String, Instant> firstReportedAt = new HashMap<>();
 
   /**
    * Advertised conditions by incarnation. They outlast the records: the control instances may
    * remove an endpoint from their roster and later report the same incarnation again.
    */
   private final Map<String, AdvertisedConditions> conditions =
-      BoundedMap.evictingLeastRecentlyUsed(CONDITIONS_KEPT);
+      BoundedMap.evictingLeastRecentlyUsed(MAX_CONDITIONS);
 
   private final Listener listener;
 
@@ -69,24 +69,24 @@
 
   /** Applies records that a control instance reports. */
   public void update(FleetMessage.RosterUpdate update, Instant now) {
-    Set<String> named = new HashSet<>();
+    Set<String> listed = new HashSet<>();
     for (EndpointRecord record : update.records()) {
-      named.add(record.id());
-      take(record, update.from(), now);
+      listed.add(record.id());
+      apply(record, update.from(), now);
     }
     if (update.complete()) {
       for (EndpointRecord record : roster.records(now)) {
-        if (!named.contains(record.id()) && isOld(record, now)) {
-          missing(record, update.from(), now);
+        if (!listed.contains(record.id()) && hasPropagated(record, now)) {
+          handleMissing(record, update.from(), now);
         }
       }
     }
-    roster.removeExpiredTombstones(now).forEach(this::forget);
+    roster.removeExpiredTombstones(now).forEach(this::remove);
   }
 
-  private boolean isOld(EndpointRecord record, Instant now) {
-    Instant since = knownSince.getOrDefault(record.id(), Instant.EPOCH);
-    return since.plus(ROSTER_SPREAD).isBefore(now);
+  private boolean hasPropagated(EndpointRecord record, Instant now) {
+    Instant since = firstReportedAt.getOrDefault(record.id(), Instant.EPOCH);
+    return since.plus(ROSTER_PROPAGATION_TIME).isBefore(now);
   }
 
   /**
@@ -94,18 +94,18 @@
    * removed: as long as it is kept, the digests differ and the complete roster is sent again and
    * again.
    */
-  private void missing(EndpointRecord record, String from, Instant now) {
+  private void handleMissing(EndpointRecord record, String reporter, Instant now) {
     switch (record.state()) {
-      case READY, DRAINING -> take(record.withState(EndpointState.LOST), from, now);
-      case LOST -> forget(record.id());
+      case READY, DRAINING -> apply(record.withState(EndpointState.LOST), reporter, now);
+      case LOST -> remove(record.id());
       default -> {}
     }
   }
 
-  private void forget(String endpointId) {
+  private void remove(String endpointId) {
     roster.remove(endpointId);
     trackers.remove(endpointId);
-    knownSince.remove(endpointId);
+    firstReportedAt.remove(endpointId);
   }
 
   /**
@@ -113,33 +113,33 @@
    * cached prompts and requests in flight apply to it. The predecessor's requests end on the old
    * tracker.
    */
-  private void take(EndpointRecord record, String from, Instant now) {
+  private void apply(EndpointRecord record, String reporter, Instant now) {
     final Optional<EndpointRecord> changed = roster.merge(record, now);
-    EndpointRecord known = roster.find(record.id()).orElse(record);
+    EndpointRecord current = roster.find(record.id()).orElse(record);
     EndpointTracker tracker = trackers.get(record.id());
     if (tracker != null) {
-      noteEnd(tracker, known, changed.isPresent());
-      if (known.recoversFrom(tracker.record())) {
-        listener.incarnationReturned(known);
+      notifyIfLost(tracker, current, changed.isPresent());
+      if (current.recoversFrom(tracker.record())) {
+        listener.incarnationReturned(current);
       }
     }
-    if (tracker == null || known.startedAfter(tracker.record())) {
-      AdvertisedConditions stated =
-          conditions.computeIfAbsent(known.incarnationId(), i -> new AdvertisedConditions());
-      trackers.put(record.id(), new EndpointTracker(known, stated, now));
-      knownSince.put(record.id(), now);
-    } else if (known.equals(record)) {
+    if (tracker == null || current.startedAfter(tracker.record())) {
+      AdvertisedConditions advertised =
+          conditions.computeIfAbsent(current.incarnationId(), i -> new AdvertisedConditions());
+      trackers.put(record.id(), new EndpointTracker(current, advertised, now));
+      firstReportedAt.put(record.id(), now);
+    } else if (current.equals(record)) {
       tracker.update(record, now);
     }
-    if (known.state() == EndpointState.GONE && trackers.get(record.id()).inFlight() == 0) {
+    if (current.state() == EndpointState.GONE && trackers.get(record.id()).inFlight() == 0) {
       trackers.remove(record.id());
     }
-    changed.ifPresent(c -> listener.changed(c, from));
+    changed.ifPresent(c -> listener.changed(c, reporter));
   }
 
-  private void noteEnd(EndpointTracker tracker, EndpointRecord known, boolean changed) {
-    boolean lost = changed && known.state() == EndpointState.LOST;
-    if (lost || known.startedAfter(tracker.record())) {
+  private void notifyIfLost(EndpointTracker tracker, EndpointRecord current, boolean changed) {
+    boolean lost = changed && current.state() == EndpointState.LOST;
+    if (lost || current.startedAfter(tracker.record())) {
       listener.incarnationLost(tracker);
     }
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/stream/EventSplitter.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/stream/EventSplitter.java
@@ -15,8 +15,8 @@
 public final class EventSplitter {
   private static final String ID_FIELD = "id:";
 
-  private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
-  private final ByteArrayOutputStream event = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream completed = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream current = new ByteArrayOutputStream();
   private boolean lineEmpty = true;
   private OptionalLong lastId;
 
@@ -35,35 +35,36 @@
    * @return the bytes of the events that are now complete and not yet forwarded, possibly none
    */
   public byte[] append(byte[] bytes) {
-    pending.reset();
+    completed.reset();
     for (byte b : bytes) {
-      event.write(b);
+      current.write(b);
       if (b == '\n') {
         if (lineEmpty) {
-          finishEvent();
+          completeEvent();
         }
         lineEmpty = true;
       } else if (b != '\r') {
         lineEmpty = false;
       }
     }
-    return pending.toByteArray();
+    return completed.toByteArray();
   }
 
-  private void finishEvent() {
-    byte[] whole = event.toByteArray();
-    event.reset();
-    OptionalLong id = idOf(whole);
-    boolean known = id.isPresent() && lastId.isPresent() && id.getAsLong() <= lastId.getAsLong();
-    if (!known) {
-      pending.writeBytes(whole);
+  private void completeEvent() {
+    byte[] bytes = current.toByteArray();
+    current.reset();
+    OptionalLong id = idOf(bytes);
+    boolean forwarded =
+        id.isPresent() && lastId.isPresent() && id.getAsLong() <= lastId.getAsLong();
+    if (!forwarded) {
+      completed.writeBytes(bytes);
       lastId = id.isPresent() ? id : lastId;
     }
   }
 
-  private static OptionalLong idOf(byte[] whole) {
+  private static OptionalLong idOf(byte[] event) {
     Optional<String> id =
-        new String(whole, StandardCharsets.ISO_8859_1)
+        new String(event, StandardCharsets.ISO_8859_1)
             .lines()
             .filter(l -> l.startsWith(ID_FIELD))
             .map(l -> l.substring(ID_FIELD.length()).trim())
@@ -82,6 +83,6 @@
 
   /** Returns the bytes after the last complete event. */
   public byte[] incompleteEvent() {
-    return event.toByteArray();
+    return current.toByteArray();
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/KeepAlivePolicyTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/KeepAlivePolicyTest.java
@@ -18,14 +18,18 @@
   private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
 
   /** A reset at the start: the endpoint's address and how long its connection had been idle. */
-  record Reset(String address, long restedMillis) {}
+  record Reset(String address, long idleMillis) {}
 
   /**
    * A test case: the resets, the timeout that "a" advertises in seconds (0 for none), the time
    * after the start, and the expected timeout then.
    */
   record Row(
-      String name, List<Reset> resets, int statedSeconds, long laterMillis, long keepMillis) {
+      String name,
+      List<Reset> resets,
+      int advertisedSeconds,
+      long laterMillis,
+      long timeoutMillis) {
     @Override
     public String toString() {
       return name;
@@ -33,30 +37,31 @@
   }
 
   static Stream<Row> rows() {
-    List<Reset> here = List.of(new Reset("a", 300));
-    List<Reset> elsewhere = List.of(new Reset("b", 300));
-    List<Reset> two = List.of(new Reset("b", 300), new Reset("c", 300));
+    List<Reset> atA = List.of(new Reset("a", 300));
+    List<Reset> atAnother = List.of(new Reset("b", 300));
+    List<Reset> atTwoOthers = List.of(new Reset("b", 300), new Reset("c", 300));
     return Stream.of(
         new Row("no timeout advertised", List.of(), 0, 0, 4_000),
         new Row("stated", List.of(), 10, 0, 9_000),
         new Row("short advertised timeout", List.of(), 1, 0, 400),
-        new Row("early close at this endpoint", here, 10, 100, 200),
-        new Row("early close at one other endpoint", elsewhere, 10, 100, 9_000),
-        new Row("early closes at two other endpoints", two, 10, 100, 200),
-        new Row("reset of a recently used connection", List.of(new Reset("a", 100)), 10, 100, 9_000),
-        new Row("forgotten", here, 10, 20_000, 9_000));
+        new Row("early close at this endpoint", atA, 10, 100, 200),
+        new Row("early close at one other endpoint", atAnother, 10, 100, 9_000),
+        new Row("early closes at two other endpoints", atTwoOthers, 10, 100, 200),
+        new Row(
+            "reset of a recently used connection", List.of(new Reset("a", 100)), 10, 100, 9_000),
+        new Row("forgotten", atA, 10, 20_000, 9_000));
   }
 
   @ParameterizedTest
   @MethodSource("rows")
-  void keepsForAsLongAsTheEndpointDoes(Row row) {
-    KeepAlivePolicy keeping = new KeepAlivePolicy();
+  void matchesEndpointTimeout(Row row) {
+    KeepAlivePolicy timeouts = new KeepAlivePolicy();
     row.resets()
-        .forEach(r -> keeping.recordReset(r.address(), Duration.ofMillis(r.restedMillis()), START));
-    Optional<Duration> stated =
-        Optional.of(Duration.ofSeconds(row.statedSeconds())).filter(d -> !d.isZero());
+        .forEach(r -> timeouts.recordReset(r.address(), Duration.ofMillis(r.idleMillis()), START));
+    Optional<Duration> advertised =
+        Optional.of(Duration.ofSeconds(row.advertisedSeconds())).filter(d -> !d.isZero());
     assertThat(
-        keeping.idleTimeout("a", stated, START.plusMillis(row.laterMillis())).toMillis(),
-        equalTo(row.keepMillis()));
+        timeouts.idleTimeout("a", advertised, START.plusMillis(row.laterMillis())).toMillis(),
+        equalTo(row.timeoutMillis()));
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/LoadReplay.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/LoadReplay.java
@@ -24,53 +24,53 @@
  * simulated; equal seeds give equal results.
  */
 final class LoadReplay {
-  static final double TOKENS_PER_MILLI = 85;
+  static final double PREFILL_TOKENS_PER_MILLI = 85;
   private static final long KV_TOKENS = 470_000;
   private static final String SERVICE = "engine";
 
   /** Number of requests that arrive together. */
-  private static final int CLUMP = 3;
+  private static final int BURST_SIZE = 3;
 
   /**
    * Interval at which entries report their load to each other; prompts of at least {@link
    * #LONG_PROMPT_TOKENS} are reported at once.
    */
-  private static final int REPORT_MILLIS = 120;
+  private static final int REPORT_INTERVAL_MILLIS = 120;
 
   private static final long LONG_PROMPT_TOKENS = 5_000;
 
-  private static final Duration STREAM_REST = Duration.ofMillis(600);
+  private static final Duration STREAM_DURATION = Duration.ofMillis(600);
 
   /** A kind of request of the trace. */
-  record Kind(
+  record RequestKind(
       String name,
       double perSecond,
       int priority,
       long sharedTokens,
-      int subjects,
+      int sharedPrefixes,
       long ownTokens,
       Duration objective,
       Duration deadline) {}
 
   /** The results of the requests of one kind. */
-  static final class Tally {
-    int asked;
+  static final class Results {
+    int sent;
     int onTime;
     int late;
     int refused;
-    int largeAsked;
+    int largeSent;
     int largeOnTime;
 
     double onTimeShare() {
-      return (double) onTime / asked;
+      return (double) onTime / sent;
     }
 
     /**
      * Returns the value of the results to the callers, relative to all on time: a late response
      * counts 0.3, and a request refused twice counts minus 0.3.
      */
-    double worth() {
-      return (onTime + 0.3 * late - 0.3 * refused) / asked;
+    double value() {
+      return (onTime + 0.3 * late - 0.3 * refused) / sent;
     }
   }
 
@@ -80,13 +80,13 @@
   private final Instant start = Instant.parse("2030-01-01T00:00:00Z");
   private final List<Engine> engines = new ArrayList<>();
   private final List<Engine> neighbours = new ArrayList<>();
-  private final Map<String, Tally> tallies = new TreeMap<>();
-  private final TreeMap<Instant, List<Returning>> returning = new TreeMap<>();
-  private long sharedTokensReadAgain;
-  private Optional<ServiceSpec.Engine> engine = Optional.empty();
+  private final Map<String, Results> results = new TreeMap<>();
+  private final TreeMap<Instant, List<Attempt>> retries = new TreeMap<>();
+  private long duplicateSharedTokens;
+  private Optional<ServiceSpec.Engine> engineSpec = Optional.empty();
 
-  private record Waiting(
-      Kind kind,
+  private record QueuedRequest(
+      RequestKind kind,
       PlacementRequest request,
       Optional<Engine> source,
       EndpointTracker.InFlightRequest ticket,
@@ -94,18 +94,19 @@
       boolean large) {}
 
   /** An attempt to place a request: the first one, or the retry after a refusal. */
-  private record Returning(Kind kind, PlacementRequest request, Instant firstAt, boolean large) {}
+  private record Attempt(
+      RequestKind kind, PlacementRequest request, Instant firstAt, boolean large) {}
 
   private static final class Engine {
     private final List<EndpointTracker> trackers;
-    private final PrefixMemory cache = new PrefixMemory();
-    private final PriorityQueue<Waiting> queue =
+    private final PrefixCacheModel cache = new PrefixCacheModel();
+    private final PriorityQueue<QueuedRequest> queue =
         new PriorityQueue<>(
-            Comparator.comparingInt((Waiting w) -> w.request().priority())
-                .thenComparing(Waiting::arrivedAt));
-    private final List<Map.Entry<Instant, Waiting>> streaming = new ArrayList<>();
-    private Optional<Waiting> reading = Optional.empty();
-    private Instant readUntil;
+            Comparator.comparingInt((QueuedRequest w) -> w.request().priority())
+                .thenComparing(QueuedRequest::arrivedAt));
+    private final List<Map.Entry<Instant, QueuedRequest>> streaming = new ArrayList<>();
+    private Optional<QueuedRequest> prefilling = Optional.empty();
+    private Instant prefillUntil;
 
     private Engine(List<EndpointTracker> trackers) {
       this.trackers = trackers;
@@ -130,8 +131,8 @@
   }
 
   /** Enables fetches of prefixes between the engines. */
-  LoadReplay withFetches() {
-    engine = Optional.of(new ServiceSpec.Engine(32, KV_TOKENS, 9, 327_680, 1_500_000));
+  LoadReplay withPrefixFetches() {
+    engineSpec = Optional.of(new ServiceSpec.Engine(32, KV_TOKENS, 9, 327_680, 1_500_000));
     return this;
   }
 
@@ -139,12 +140,12 @@
    * Adds engines of a neighbouring region, which get no requests and cache all shared parts of the
    * requests of a kind.
    */
-  LoadReplay withNeighbours(Kind kind, int count) {
+  LoadReplay withNeighbours(RequestKind kind, int count) {
     for (int n = 0; n < count; n++) {
       Engine neighbour = newEngine("neighbour-" + n);
-      for (int subject = n; subject < kind.subjects(); subject += count) {
-        List<PromptPart> shared = List.of(sharedPart(kind, subject));
-        neighbour.cache.read(shared, KV_TOKENS);
+      for (int prefix = n; prefix < kind.sharedPrefixes(); prefix += count) {
+        List<PromptPart> shared = List.of(sharedPart(kind, prefix));
+        neighbour.cache.add(shared, KV_TOKENS);
         neighbour.trackers.forEach(t -> t.recordPrefix(shared, KV_TOKENS));
       }
       neighbours.add(neighbour);
@@ -159,39 +160,39 @@
         IntStream.range(0, entryCount).mapToObj(e -> new EndpointTracker(record, start)).toList());
   }
 
-  private static PromptPart sharedPart(Kind kind, int subject) {
-    return new PromptPart(kind.name() + subject, kind.sharedTokens());
+  private static PromptPart sharedPart(RequestKind kind, int prefix) {
+    return new PromptPart(kind.name() + prefix, kind.sharedTokens());
   }
 
   /** Runs a trace of these kinds, which arrive at random at their rates. */
-  Map<String, Tally> run(List<Kind> kinds, Duration length) {
-    kinds.forEach(k -> tallies.put(k.name(), new Tally()));
-    for (long ms = 0; ms < length.toMillis(); ms++) {
+  Map<String, Results> run(List<RequestKind> kinds, Duration duration) {
+    kinds.forEach(k -> results.put(k.name(), new Results()));
+    for (long ms = 0; ms < duration.toMillis(); ms++) {
       Instant now = start.plusMillis(ms);
-      for (Kind kind : kinds) {
-        if (random.nextDouble() < kind.perSecond() / CLUMP / 1_000) {
-          for (int i = 0; i < CLUMP; i++) {
+      for (RequestKind kind : kinds) {
+        if (random.nextDouble() < kind.perSecond() / BURST_SIZE / 1_000) {
+          for (int i = 0; i < BURST_SIZE; i++) {
             arrive(kind, now);
           }
         }
       }
-      while (!returning.isEmpty() && !returning.firstKey().isAfter(now)) {
-        returning.pollFirstEntry().getValue().forEach(r -> comeBack(r, now));
+      while (!retries.isEmpty() && !retries.firstKey().isAfter(now)) {
+        retries.pollFirstEntry().getValue().forEach(r -> retry(r, now));
       }
       engines.forEach(e -> advance(e, now));
-      if (ms % REPORT_MILLIS == 0) {
+      if (ms % REPORT_INTERVAL_MILLIS == 0) {
         engines.forEach(
-            e -> IntStream.range(0, entryCount).forEach(entry -> tellOthers(e, entry, now)));
+            e -> IntStream.range(0, entryCount).forEach(entry -> reportToPeers(e, entry, now)));
       }
     }
-    return tallies;
+    return results;
   }
 
-  private void tellOthers(Engine engine, int entry, Instant now) {
-    EndpointTracker told = engine.trackers.get(entry);
-    for (EndpointTracker other : engine.trackers) {
-      if (other != told) {
-        other.updatePeerLoad("entry-" + entry, told.inFlight(), told.pendingPrompts(now), now);
+  private void reportToPeers(Engine engine, int entry, Instant now) {
+    EndpointTracker own = engine.trackers.get(entry);
+    for (EndpointTracker peer : engine.trackers) {
+      if (peer != own) {
+        peer.updatePeerLoad("entry-" + entry, own.inFlight(), own.pendingPrompts(now), now);
       }
     }
   }
@@ -200,63 +201,64 @@
    * Returns the number of tokens of shared parts that an engine prefilled although another engine
    * had cached them.
    */
-  long sharedTokensReadAgain() {
-    return sharedTokensReadAgain;
+  long duplicateSharedTokens() {
+    return duplicateSharedTokens;
   }
 
-  private void arrive(Kind kind, Instant now) {
-    Tally tally = tallies.get(kind.name());
-    tally.asked++;
+  private void arrive(RequestKind kind, Instant now) {
+    Results kindResults = results.get(kind.name());
+    kindResults.sent++;
     // Log-normal with the given mean: the largest tenth is at least about three times as long.
     double spread = 1.0;
-    long own =
+    long ownTokens =
         Math.round(
             kind.ownTokens() * Math.exp(spread * random.nextGaussian() - spread * spread / 2));
-    boolean large = own > 2.2 * kind.ownTokens();
-    tally.largeAsked += large ? 1 : 0;
-    int subject = random.nextInt(kind.subjects());
+    boolean large = ownTokens > 2.2 * kind.ownTokens();
+    kindResults.largeSent += large ? 1 : 0;
+    int prefix = random.nextInt(kind.sharedPrefixes());
     List<PromptPart> parts =
-        List.of(sharedPart(kind, subject), new PromptPart("own" + random.nextLong(), own));
+        List.of(sharedPart(kind, prefix), new PromptPart("own" + random.nextLong(), ownTokens));
     PlacementRequest request =
         new PlacementRequest(
             SERVICE,
             kind.priority(),
-            kind.sharedTokens() + own,
+            kind.sharedTokens() + ownTokens,
             0,
             parts,
             kind.objective(),
             kind.deadline(),
             Set.of());
-    place(new Returning(kind, request, now, large), now)
+    place(new Attempt(kind, request, now, large), now)
         .ifPresent(
-            pause ->
-                returning
-                    .computeIfAbsent(now.plus(pause), t -> new ArrayList<>())
-                    .add(new Returning(kind, request, now, large)));
+            delay ->
+                retries
+                    .computeIfAbsent(now.plus(delay), t -> new ArrayList<>())
+                    .add(new Attempt(kind, request, now, large)));
   }
 
   /** Retries a refused request once, with the time left until its deadline. */
-  private void comeBack(Returning r, Instant now) {
-    PlacementRequest before = r.request();
-    PlacementRequest again =
+  private void retry(Attempt refused, Instant now) {
+    PlacementRequest original = refused.request();
+    PlacementRequest retry =
         new PlacementRequest(
-            before.service(),
-            before.priority(),
-            before.promptTokens(),
-            before.expectedOutputTokens(),
-            before.parts(),
-            before.firstByteObjective(),
-            r.kind().deadline().minus(Duration.between(r.firstAt(), now)),
+            original.service(),
+            original.priority(),
+            original.promptTokens(),
+            original.expectedOutputTokens(),
+            original.parts(),
+            original.firstByteObjective(),
+            refused.kind().deadline().minus(Duration.between(refused.firstAt(), now)),
             Set.of());
-    if (place(new Returning(r.kind(), again, r.firstAt(), r.large()), now).isPresent()) {
-      tallies.get(r.kind().name()).refused++;
+    if (place(new Attempt(refused.kind(), retry, refused.firstAt(), refused.large()), now)
+        .isPresent()) {
+      results.get(refused.kind().name()).refused++;
     }
   }
 
   /** Places a request and returns the retry delay if it is refused. */
-  private Optional<Duration> place(Returning arrival, Instant now) {
+  private Optional<Duration> place(Attempt attempt, Instant now) {
     int entry = entryCount == 1 ? 0 : random.nextInt(entryCount);
-    Placer.Context around =
+    Placer.Context context =
         new Placer.Context(
             engines.stream().map(e -> e.trackers.get(entry)).toList(),
             "entry-" + entry,
@@ -267,61 +269,62 @@
             Set.of(),
             "here",
             allEngines().map(e -> e.trackers.get(entry)).toList(),
-            engine,
+            engineSpec,
             Set.of());
-    Placement placement = placer.place(arrival.request(), around, now);
+    Placement placement = placer.place(attempt.request(), context, now);
     if (placement instanceof Placement.Refused refused) {
       return Optional.of(refused.retryAfter());
     }
-    Placement.ToEndpoint here = (Placement.ToEndpoint) placement;
-    EndpointTracker chosen = here.endpoint();
+    Placement.ToEndpoint local = (Placement.ToEndpoint) placement;
+    EndpointTracker chosen = local.endpoint();
     Engine engine = engineOf(chosen);
-    long fetched = here.fetch().map(Placement.PrefixFetch::tokens).orElse(0L);
-    long uncached = chosen.uncachedTokens(arrival.request()) - fetched;
+    long fetched = local.fetch().map(Placement.PrefixFetch::tokens).orElse(0L);
+    long uncached = chosen.uncachedTokens(attempt.request()) - fetched;
     EndpointTracker.InFlightRequest ticket =
-        chosen.startRequest(arrival.request(), fetched, KV_TOKENS, now);
+        chosen.startRequest(attempt.request(), fetched, KV_TOKENS, now);
     if (uncached >= LONG_PROMPT_TOKENS) {
-      tellOthers(engine, entry, now);
+      reportToPeers(engine, entry, now);
     }
     engine.queue.add(
-        new Waiting(
-            arrival.kind(),
-            arrival.request(),
-            here.fetch().map(f -> engineOf(f.source())),
+        new QueuedRequest(
+            attempt.kind(),
+            attempt.request(),
+            local.fetch().map(f -> engineOf(f.source())),
             ticket,
-            arrival.firstAt(),
-            arrival.large()));
+            attempt.firstAt(),
+            attempt.large()));
     return Optional.empty();
   }
 
   private void advance(Engine engine, Instant now) {
     engine.streaming.removeIf(
         s -> {
-          boolean over = !s.getKey().isAfter(now);
-          if (over) {
+          boolean finished = !s.getKey().isAfter(now);
+          if (finished) {
             s.getValue().ticket().finish(Outcome.ANSWERED, now);
           }
-          return over;
+          return finished;
         });
-    if (engine.reading.isPresent() && !engine.readUntil.isAfter(now)) {
-      firstByte(engine, engine.reading.get(), now);
-      engine.reading = Optional.empty();
+    if (engine.prefilling.isPresent() && !engine.prefillUntil.isAfter(now)) {
+      recordFirstByte(engine, engine.prefilling.get(), now);
+      engine.prefilling = Optional.empty();
     }
-    if (engine.reading.isEmpty() && !engine.queue.isEmpty()) {
-      Waiting next = engine.queue.remove();
-      long held =
+    if (engine.prefilling.isEmpty() && !engine.queue.isEmpty()) {
+      QueuedRequest next = engine.queue.remove();
+      long cached =
           Math.max(
-              engine.cache.heldTokensOf(next.request().parts()),
+              engine.cache.cachedTokensOf(next.request().parts()),
               next.source()
-                  .map(s -> s.cache.heldTokensOf(next.request().sharedParts()))
+                  .map(s -> s.cache.cachedTokensOf(next.request().sharedParts()))
                   .orElse(0L));
-      if (held == 0 && allEngines().anyMatch(e -> holds(e, next))) {
-        sharedTokensReadAgain += next.request().parts().get(0).tokens();
+      if (cached == 0 && allEngines().anyMatch(e -> caches(e, next))) {
+        duplicateSharedTokens += next.request().parts().get(0).tokens();
       }
-      engine.cache.read(next.request().parts(), KV_TOKENS);
-      long tokens = next.request().promptTokens() - held;
-      engine.reading = Optional.of(next);
-      engine.readUntil = now.plusMillis(Math.max(1, Math.round(tokens / TOKENS_PER_MILLI)));
+      engine.cache.add(next.request().parts(), KV_TOKENS);
+      long tokens = next.request().promptTokens() - cached;
+      engine.prefilling = Optional.of(next);
+      engine.prefillUntil =
+          now.plusMillis(Math.max(1, Math.round(tokens / PREFILL_TOKENS_PER_MILLI)));
     }
   }
 
@@ -333,20 +336,20 @@
     return allEngines().filter(e -> e.trackers.contains(tracker)).findFirst().orElseThrow();
   }
 
-  private static boolean holds(Engine engine, Waiting waiting) {
-    return engine.cache.heldTokensOf(waiting.request().parts()) > 0;
+  private static boolean caches(Engine engine, QueuedRequest waiting) {
+    return engine.cache.cachedTokensOf(waiting.request().parts()) > 0;
   }
 
-  private void firstByte(Engine engine, Waiting done, Instant now) {
-    done.ticket().bytesReceived(now);
-    engine.trackers.forEach(t -> t.recordPrefix(done.request().sharedParts(), KV_TOKENS));
-    engine.streaming.add(Map.entry(now.plus(STREAM_REST), done));
-    Tally tally = tallies.get(done.kind().name());
-    if (Duration.between(done.arrivedAt(), now).compareTo(done.kind().objective()) <= 0) {
-      tally.onTime++;
-      tally.largeOnTime += done.large() ? 1 : 0;
+  private void recordFirstByte(Engine engine, QueuedRequest prefilled, Instant now) {
+    prefilled.ticket().bytesReceived(now);
+    engine.trackers.forEach(t -> t.recordPrefix(prefilled.request().sharedParts(), KV_TOKENS));
+    engine.streaming.add(Map.entry(now.plus(STREAM_DURATION), prefilled));
+    Results kindResults = results.get(prefilled.kind().name());
+    if (Duration.between(prefilled.arrivedAt(), now).compareTo(prefilled.kind().objective()) <= 0) {
+      kindResults.onTime++;
+      kindResults.largeOnTime += prefilled.large() ? 1 : 0;
     } else {
-      tally.late++;
+      kindResults.late++;
     }
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/TokenPaceTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/OutputTokenTimeTest.java
@@ -11,15 +11,15 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Estimated time per output token, from the intervals between events. */
-class TokenPaceTest {
+class OutputTokenTimeTest {
   private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
-  private static final int TOKENS = 4;
+  private static final int TOKENS_PER_EVENT = 4;
 
   /**
    * A test case: the intervals between events, the age of the last event, and the expected
    * estimate.
    */
-  record Row(String name, List<Integer> pausesMillis, int agoMillis, double pace) {
+  record Row(String name, List<Integer> intervalsMillis, int ageMillis, double expectedMillis) {
     @Override
     public String toString() {
       return name;
@@ -28,7 +28,7 @@
 
   static Stream<Row> rows() {
     return Stream.of(
-        new Row("no samples", List.of(), 0, TokenPace.INITIAL_MILLIS),
+        new Row("no samples", List.of(), 0, OutputTokenTime.INITIAL_MILLIS),
         new Row("one event has the same weight as the initial assumption", List.of(120), 0, 20),
         new Row("busy engine", repeated(240, 20), 0, 49),
         new Row("idle again after being busy", repeated(240, 20), 4_000, 10.5),
@@ -46,14 +46,14 @@
 
   @ParameterizedTest
   @MethodSource("rows")
-  void followsTheEvents(Row row) {
-    TokenPace pace = new TokenPace();
+  void estimatesFromEvents(Row row) {
+    OutputTokenTime outputTokenTime = new OutputTokenTime();
     Instant now = START;
-    for (int pause : row.pausesMillis()) {
-      now = now.plusMillis(pause);
-      pace.sample(Duration.ofMillis(pause), TOKENS, now);
+    for (int interval : row.intervalsMillis()) {
+      now = now.plusMillis(interval);
+      outputTokenTime.addSample(Duration.ofMillis(interval), TOKENS_PER_EVENT, now);
     }
-    double told = pace.millisPerToken(now.plusMillis(row.agoMillis()));
-    assertThat(told, closeTo(row.pace(), 0.1 * row.pace()));
+    double estimate = outputTokenTime.millisPerToken(now.plusMillis(row.ageMillis()));
+    assertThat(estimate, closeTo(row.expectedMillis(), 0.1 * row.expectedMillis()));
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacementMechanismTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacementMechanismTest.java
@@ -15,7 +15,7 @@
 
 /** Parsing of the setting that lists disabled mechanisms. */
 class PlacementMechanismTest {
-  static Stream<Arguments> accepted() {
+  static Stream<Arguments> validTexts() {
     return Stream.of(
         Arguments.of("", EnumSet.noneOf(PlacementMechanism.class)),
         Arguments.of("TOKEN_PACE", EnumSet.of(PlacementMechanism.TOKEN_PACE)),
@@ -26,14 +26,14 @@
 
   @ParameterizedTest
   @MethodSource("accepted")
-  void readsNames(String text, Set<PlacementMechanism> named) {
-    assertThat(PlacementMechanism.parse(text), equalTo(named));
+  void parsesNames(String text, Set<PlacementMechanism> expected) {
+    assertThat(PlacementMechanism.parse(text), equalTo(expected));
   }
 
   @Test
-  void anUnknownNameIsRefusedWithThoseKnown() {
-    IllegalArgumentException refusal =
+  void rejectsUnknownNameAndListsValidNames() {
+    IllegalArgumentException exception =
         assertThrows(IllegalArgumentException.class, () -> PlacementMechanism.parse("TOKEN_PACES"));
-    assertThat(refusal.getMessage(), containsString("TOKEN_PACE,"));
+    assertThat(exception.getMessage(), containsString("TOKEN_PACE,"));
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerLoadTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerLoadTest.java
@@ -19,21 +19,21 @@
  */
 class PlacerLoadTest {
   /** Value of an on-time review to its caller, relative to a question. */
-  private static final double REVIEW_WORTH = 3.7;
+  private static final double REVIEW_VALUE = 3.7;
 
-  private static final Duration LENGTH = Duration.ofSeconds(60);
+  private static final Duration DURATION = Duration.ofSeconds(60);
 
   /** A test case: the load on three engines, and the bounds of the result. */
   record Row(
       String name,
       int entries,
       int reviewPriority,
-      double factor,
-      double urgentOnTime,
-      double reviewsOnTime,
-      double lateMost,
-      long readAgainMost,
-      double worth) {
+      double loadFactor,
+      double minUrgentOnTime,
+      double minReviewsOnTime,
+      double maxLateShare,
+      long maxDuplicateTokens,
+      double minValue) {
     @Override
     public String toString() {
       return name;
@@ -53,10 +53,10 @@
   }
 
   /** Schedules: long prompts that share a small number of long contracts. */
-  private static LoadReplay.Kind schedules(double factor) {
-    return new LoadReplay.Kind(
+  private static LoadReplay.RequestKind schedules(double loadFactor) {
+    return new LoadReplay.RequestKind(
         "schedule",
-        3 * factor,
+        3 * loadFactor,
         0,
         13_300,
         29,
@@ -65,16 +65,16 @@
         Duration.ofSeconds(10));
   }
 
-  private static LoadReplay.Kind queries(double factor) {
-    return new LoadReplay.Kind(
-        "query", 45 * factor, 0, 92, 960, 291, Duration.ofSeconds(2), Duration.ofSeconds(5));
+  private static LoadReplay.RequestKind queries(double loadFactor) {
+    return new LoadReplay.RequestKind(
+        "query", 45 * loadFactor, 0, 92, 960, 291, Duration.ofSeconds(2), Duration.ofSeconds(5));
   }
 
   /**
    * A test case: the load, and the maximum of shared tokens prefilled again with fetches, as a
    * share of those without.
    */
-  record NeighbourRow(double factor, double mostReadShare) {}
+  record NeighbourRow(double loadFactor, double maxDuplicateShare) {}
 
   static Stream<NeighbourRow> neighbourRows() {
     return Stream.of(
@@ -90,58 +90,68 @@
    */
   @ParameterizedTest
   @MethodSource("neighbourRows")
-  void whatNeighboursHoldIsNotReadAgain(NeighbourRow row) {
-    LoadReplay.Kind schedules = schedules(row.factor());
-    LoadReplay without = new LoadReplay(3, 3, 11).withNeighbours(schedules, 2);
-    LoadReplay with = new LoadReplay(3, 3, 11).withNeighbours(schedules, 2).withFetches();
-    List<LoadReplay.Kind> kinds = List.of(schedules, queries(row.factor()));
-    final double onTimeWithout = without.run(kinds, LENGTH).get("schedule").onTimeShare();
-    final double onTime = with.run(kinds, LENGTH).get("schedule").onTimeShare();
-    assertThat("on time", onTime, greaterThanOrEqualTo(onTimeWithout - 0.01));
-    long most = Math.round(row.mostReadShare() * without.sharedTokensReadAgain());
-    assertThat("shared tokens prefilled again", with.sharedTokensReadAgain(), lessThanOrEqualTo(most));
+  void fetchesPrefixesFromNeighbours(NeighbourRow row) {
+    LoadReplay.RequestKind schedules = schedules(row.loadFactor());
+    LoadReplay withoutFetches = new LoadReplay(3, 3, 11).withNeighbours(schedules, 2);
+    LoadReplay withFetches =
+        new LoadReplay(3, 3, 11).withNeighbours(schedules, 2).withPrefixFetches();
+    List<LoadReplay.RequestKind> kinds = List.of(schedules, queries(row.loadFactor()));
+    final double onTimeWithoutFetches =
+        withoutFetches.run(kinds, DURATION).get("schedule").onTimeShare();
+    final double onTime = withFetches.run(kinds, DURATION).get("schedule").onTimeShare();
+    assertThat("on time", onTime, greaterThanOrEqualTo(onTimeWithoutFetches - 0.01));
+    long maxDuplicateTokens =
+        Math.round(row.maxDuplicateShare() * withoutFetches.duplicateSharedTokens());
+    assertThat(
+        "shared tokens prefilled again",
+        withFetches.duplicateSharedTokens(),
+        lessThanOrEqualTo(maxDuplicateTokens));
   }
 
   @ParameterizedTest
   @MethodSource("rows")
-  void servesOnTimeWhatItAdmits(Row row) {
+  void servesAdmittedRequestsOnTime(Row row) {
     LoadReplay replay = new LoadReplay(3, row.entries(), 11);
-    final Map<String, LoadReplay.Tally> tallies = run(replay, row);
-    LoadReplay.Tally review = tallies.get("review");
-    LoadReplay.Tally question = tallies.get("question");
-    assertThat("questions on time", question.onTimeShare(), greaterThanOrEqualTo(row.urgentOnTime()));
-    assertThat("reviews on time", review.onTimeShare(), greaterThanOrEqualTo(row.reviewsOnTime()));
-    double late = (double) (review.late + question.late) / (review.asked + question.asked);
-    assertThat("late", late, lessThanOrEqualTo(row.lateMost()));
+    final Map<String, LoadReplay.Results> results = run(replay, row);
+    LoadReplay.Results review = results.get("review");
+    LoadReplay.Results question = results.get("question");
+    assertThat(
+        "questions on time", question.onTimeShare(), greaterThanOrEqualTo(row.minUrgentOnTime()));
+    assertThat(
+        "reviews on time", review.onTimeShare(), greaterThanOrEqualTo(row.minReviewsOnTime()));
+    double lateShare = (double) (review.late + question.late) / (review.sent + question.sent);
+    assertThat("late", lateShare, lessThanOrEqualTo(row.maxLateShare()));
     assertThat(
-        "shared tokens prefilled again", replay.sharedTokensReadAgain(), lessThanOrEqualTo(row.readAgainMost()));
-    double worth =
-        (REVIEW_WORTH * review.worth() * review.asked + question.worth() * question.asked)
-            / (REVIEW_WORTH * review.asked + question.asked);
-    assertThat("worth", worth, greaterThanOrEqualTo(row.worth()));
+        "shared tokens prefilled again",
+        replay.duplicateSharedTokens(),
+        lessThanOrEqualTo(row.maxDuplicateTokens()));
+    double value =
+        (REVIEW_VALUE * review.value() * review.sent + question.value() * question.sent)
+            / (REVIEW_VALUE * review.sent + question.sent);
+    assertThat("worth", value, greaterThanOrEqualTo(row.minValue()));
   }
 
-  private static Map<String, LoadReplay.Tally> run(LoadReplay replay, Row row) {
+  private static Map<String, LoadReplay.Results> run(LoadReplay replay, Row row) {
     return replay.run(
         List.of(
-            new LoadReplay.Kind(
+            new LoadReplay.RequestKind(
                 "review",
-                10 * row.factor(),
+                10 * row.loadFactor(),
                 row.reviewPriority(),
                 5_400,
                 55,
                 6_600,
                 Duration.ofMillis(800),
                 Duration.ofSeconds(10)),
-            new LoadReplay.Kind(
+            new LoadReplay.RequestKind(
                 "question",
-                48 * row.factor(),
+                48 * row.loadFactor(),
                 0,
                 570,
                 190,
                 1_800,
                 Duration.ofMillis(1_200),
                 Duration.ofMillis(2_500))),
-        LENGTH);
+        DURATION);
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerTest.java
@@ -35,10 +35,10 @@
       String name,
       EndpointState state,
       int backlogTokens,
-      long elsewhereMillis,
-      Set<String> homes,
+      long remoteWaitMillis,
+      Set<String> allowedRegions,
       long promptTokens,
-      String goes) {
+      String outcome) {
     @Override
     public String toString() {
       return name;
@@ -47,18 +47,25 @@
 
   static Stream<Row> rows() {
     EndpointState ready = EndpointState.READY;
-    Set<String> anywhere = Set.of();
+    Set<String> anyRegion = Set.of();
     return Stream.of(
-        new Row("idle", ready, 0, 0, anywhere, 2_000, "here"),
-        new Row("short queue", ready, 8_000, 0, anywhere, 2_000, "here"),
-        new Row("long queue", ready, 200_000, 0, anywhere, 2_000, "elsewhere"),
-        new Row("long queue in both regions", ready, 200_000, 5_000, anywhere, 2_000, "refused"),
+        new Row("idle", ready, 0, 0, anyRegion, 2_000, "here"),
+        new Row("short queue", ready, 8_000, 0, anyRegion, 2_000, "here"),
+        new Row("long queue", ready, 200_000, 0, anyRegion, 2_000, "elsewhere"),
+        new Row("long queue in both regions", ready, 200_000, 5_000, anyRegion, 2_000, "refused"),
         new Row("only this region allowed", ready, 200_000, 0, Set.of("here"), 2_000, "refused"),
         new Row("only the other region allowed", ready, 0, 0, Set.of("there"), 2_000, "elsewhere"),
-        new Row("draining", EndpointState.DRAINING, 0, 0, anywhere, 2_000, "elsewhere"),
-        new Row("gone, no other region", EndpointState.GONE, 0, -1, anywhere, 2_000, "refused"),
-        new Row("long prompt, idle", ready, 0, 0, anywhere, 54_000, "here"),
-        new Row("plain service in the other region", EndpointState.GONE, 0, 0, anywhere, 0, "elsewhere"));
+        new Row("draining", EndpointState.DRAINING, 0, 0, anyRegion, 2_000, "elsewhere"),
+        new Row("gone, no other region", EndpointState.GONE, 0, -1, anyRegion, 2_000, "refused"),
+        new Row("long prompt, idle", ready, 0, 0, anyRegion, 54_000, "here"),
+        new Row(
+            "plain service in the other region",
+            EndpointState.GONE,
+            0,
+            0,
+            anyRegion,
+            0,
+            "elsewhere"));
   }
 
   private static EndpointTracker tracker(String id, EndpointState state, long coldMillis) {
@@ -79,21 +86,24 @@
         Set.of());
   }
 
-  private static String where(Placement placement) {
+  private static String outcome(Placement placement) {
     return placement instanceof Placement.ToEndpoint
         ? "here"
         : placement instanceof Placement.ToRegion ? "elsewhere" : "refused";
   }
 
-  private static Placer.Context around(
-      List<EndpointTracker> endpoints, RegionLoads loads, Set<String> homes, String entry) {
+  private static Placer.Context context(
+      List<EndpointTracker> endpoints,
+      RegionLoads loads,
+      Set<String> allowedRegions,
+      String entry) {
     return new Placer.Context(
         endpoints,
         entry,
         List.of("e1", "e2", "e3", "e4", "e5", "e6"),
         100,
         Optional.of(loads),
-        homes,
+        allowedRegions,
         Set.of(),
         "here",
         List.of(),
@@ -103,84 +113,83 @@
 
   @ParameterizedTest
   @MethodSource("rows")
-  void goesWhereItIsServedInTime(Row row) {
+  void placesWhereServedInTime(Row row) {
     EndpointTracker endpoint = tracker("i-1", row.state(), 0);
     if (row.backlogTokens() > 0) {
       endpoint.startRequest(request(row.backlogTokens()), 0, 400_000, NOW);
     }
     RegionLoads loads = new RegionLoads();
-    if (row.elsewhereMillis() >= 0) {
-      long[] waits = {row.elsewhereMillis(), row.elsewhereMillis()};
+    if (row.remoteWaitMillis() >= 0) {
+      long[] waits = {row.remoteWaitMillis(), row.remoteWaitMillis()};
       loads.update("there", new ServiceLoad("s", 2, waits, 10), NOW);
     }
     Placement placement =
         new Placer(3, new Random(1))
             .place(
                 request(row.promptTokens()),
-                around(List.of(endpoint), loads, row.homes(), "e1"),
+                context(List.of(endpoint), loads, row.allowedRegions(), "e1"),
                 NOW);
-    assertThat(where(placement), equalTo(row.goes()));
+    assertThat(outcome(placement), equalTo(row.outcome()));
   }
 
   @Test
-  void coldEndpointsGetFewRequestsFromAllEntriesTogether() {
+  void limitsRequestsOfAllEntriesToColdEndpoint() {
     Placer placer = new Placer(3, new Random(1));
-    List<EndpointTracker> views = new ArrayList<>();
+    List<EndpointTracker> trackers = new ArrayList<>();
     for (int e = 1; e <= 6; e++) {
-      views.add(tracker("i-1", EndpointState.READY, 10_000));
+      trackers.add(tracker("i-1", EndpointState.READY, 10_000));
     }
-    int mostInSecond = 0;
+    int maxInSecond = 0;
     List<Instant> sent = new ArrayList<>();
     for (int ms = 0; ms < 5_000; ms += 10) {
       Instant now = NOW.plusMillis(ms);
       for (int e = 1; e <= 6; e++) {
-        EndpointTracker view = views.get(e - 1);
+        EndpointTracker tracker = trackers.get(e - 1);
         Placement placement =
             placer.place(
-                request(0), around(List.of(view), new RegionLoads(), Set.of(), "e" + e), now);
+                request(0), context(List.of(tracker), new RegionLoads(), Set.of(), "e" + e), now);
         if (placement instanceof Placement.ToEndpoint) {
-          view.startRequest(request(0), 0, 0, now).finish(EndpointTracker.Outcome.ANSWERED, now);
+          tracker.startRequest(request(0), 0, 0, now).finish(EndpointTracker.Outcome.ANSWERED, now);
           sent.add(now);
         }
       }
-      mostInSecond =
+      maxInSecond =
           Math.max(
-              mostInSecond,
-              (int) sent.stream().filter(t -> t.isAfter(now.minusSeconds(1))).count());
+              maxInSecond, (int) sent.stream().filter(t -> t.isAfter(now.minusSeconds(1))).count());
     }
-    assertThat("three senders, one request a second each", mostInSecond, equalTo(3));
+    assertThat("three senders, one request a second each", maxInSecond, equalTo(3));
   }
 
   /**
    * A test case: what this region's only endpoint has advertised, and the expected placement of a
    * request sent afterwards.
    */
-  record Stated(
-      String name, Duration pause, OptionalDouble perSecond, long laterMillis, String goes) {
+  record AdvertisedRow(
+      String name, Duration pause, OptionalDouble perSecond, long laterMillis, String outcome) {
     @Override
     public String toString() {
       return name;
     }
   }
 
-  static Stream<Stated> statedRows() {
-    Duration none = Duration.ZERO;
+  static Stream<AdvertisedRow> advertisedRows() {
+    Duration noPause = Duration.ZERO;
     Duration pause = Duration.ofSeconds(3);
-    OptionalDouble any = OptionalDouble.empty();
-    OptionalDouble two = OptionalDouble.of(2);
+    OptionalDouble unlimited = OptionalDouble.empty();
+    OptionalDouble twoPerSecond = OptionalDouble.of(2);
     return Stream.of(
-        new Stated("nothing", none, any, 0, "here"),
-        new Stated("end of the pause", pause, any, 2_999, "refused, back in 300 ms"),
-        new Stated("start of the pause", pause, any, 0, "refused, back in 1666 ms"),
-        new Stated("after the pause", pause, any, 3_000, "here"),
-        new Stated("rate exceeded", none, two, 500, "refused, back in 1500 ms"),
-        new Stated("rate not exceeded", none, two, 2_000, "here"),
-        new Stated("both", pause, two, 2_500, "refused, back in 500 ms"));
+        new AdvertisedRow("nothing", noPause, unlimited, 0, "here"),
+        new AdvertisedRow("end of the pause", pause, unlimited, 2_999, "refused, back in 300 ms"),
+        new AdvertisedRow("start of the pause", pause, unlimited, 0, "refused, back in 1666 ms"),
+        new AdvertisedRow("after the pause", pause, unlimited, 3_000, "here"),
+        new AdvertisedRow("rate exceeded", noPause, twoPerSecond, 500, "refused, back in 1500 ms"),
+        new AdvertisedRow("rate not exceeded", noPause, twoPerSecond, 2_000, "here"),
+        new AdvertisedRow("both", pause, twoPerSecond, 2_500, "refused, back in 500 ms"));
   }
 
   @ParameterizedTest
   @MethodSource("statedRows")
-  void nothingIsSentAgainstWhatTheOnlyEndpointStates(Stated row) {
+  void respectsAdvertisedConditions(AdvertisedRow row) {
     EndpointTracker endpoint = tracker("i-1", EndpointState.READY, 0);
     row.perSecond()
         .ifPresent(r -> endpoint.rateLimit().updateFromResponse(row.perSecond(), NOW, NOW));
@@ -190,14 +199,14 @@
         new Placer(3, new Random(1))
             .place(
                 request(0),
-                around(List.of(endpoint), new RegionLoads(), Set.of(), rateSender()),
+                context(List.of(endpoint), new RegionLoads(), Set.of(), rateSender()),
                 NOW.plusMillis(row.laterMillis()));
-    String goes = where(placement);
+    String outcome = outcome(placement);
     if (placement instanceof Placement.Refused refused) {
       assertThat(refused.reason(), equalTo(Placement.Reason.PACED));
-      goes += ", back in " + refused.retryAfter().toMillis() + " ms";
+      outcome += ", back in " + refused.retryAfter().toMillis() + " ms";
     }
-    assertThat(goes, equalTo(row.goes()));
+    assertThat(outcome, equalTo(row.outcome()));
   }
 
   /** Returns one of the entries that share a low rate at the endpoint of these tests. */
@@ -206,17 +215,17 @@
   }
 
   @Test
-  void silentEndpointThatOwesAnswersIsAvoided() {
-    EndpointTracker silent = tracker("i-1", EndpointState.READY, 0);
-    EndpointTracker sound = tracker("i-2", EndpointState.READY, 0);
-    silent.startRequest(request(100), 0, 1_000, NOW);
+  void avoidsUnresponsiveEndpoint() {
+    EndpointTracker unresponsive = tracker("i-1", EndpointState.READY, 0);
+    EndpointTracker healthy = tracker("i-2", EndpointState.READY, 0);
+    unresponsive.startRequest(request(100), 0, 1_000, NOW);
     Instant later = NOW.plusSeconds(1);
     for (int i = 0; i < 20; i++) {
       Placement placement =
           new Placer(3, new Random(i))
               .place(
                   request(100 + i),
-                  around(List.of(silent, sound), new RegionLoads(), Set.of(), "e1"),
+                  context(List.of(unresponsive, healthy), new RegionLoads(), Set.of(), "e1"),
                   later);
       assertThat(((Placement.ToEndpoint) placement).endpoint().record().id(), equalTo("i-2"));
     }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/ReadingQueueTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PrefillQueueTest.java
@@ -8,20 +8,20 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.lacewingcroft.placement.ReadingQueue.Unread;
+import org.lacewingcroft.placement.PrefillQueue.PendingPrompt;
 
 /**
  * Estimated number of tokens that an engine prefills before a request that is sent now, at 100
  * tokens a millisecond.
  */
-class ReadingQueueTest {
+class PrefillQueueTest {
   private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
-  private static final double SPEED = 100;
+  private static final double TOKENS_PER_MILLI = 100;
 
   /** A prompt: its priority, its length in tokens and when it was sent, in ms after the start. */
-  record Sent(int priority, long tokens, long atMillis) {
-    Unread unread() {
-      return new Unread(priority, tokens, at(atMillis));
+  record SentPrompt(int priority, long tokens, long atMillis) {
+    PendingPrompt pending() {
+      return new PendingPrompt(priority, tokens, at(atMillis));
     }
   }
 
@@ -37,9 +37,9 @@
    */
   record Row(
       String name,
-      List<Sent> own,
-      List<Sent> peers,
-      long readMillis,
+      List<SentPrompt> own,
+      List<SentPrompt> peers,
+      long prefilledMillis,
       int priority,
       long nowMillis,
       double ahead) {
@@ -50,16 +50,37 @@
   }
 
   static Stream<Row> rows() {
-    Sent longOne = new Sent(1, 30_000, 0);
-    Sent shortOne = new Sent(0, 2_000, 5);
+    SentPrompt longPrompt = new SentPrompt(1, 30_000, 0);
+    SentPrompt shortPrompt = new SentPrompt(0, 2_000, 5);
     return Stream.of(
         new Row("nothing", List.of(), List.of(), 0, 0, 10, 0),
-        new Row("remainder of a less urgent prompt in progress", List.of(longOne), List.of(), 0, 0, 100, 20_000),
-        new Row("prompt of another entry in progress", List.of(), List.of(longOne), 0, 0, 100, 20_000),
-        new Row("prompt that should be prefilled by now", List.of(longOne), List.of(), 0, 0, 900, 3_000),
+        new Row(
+            "remainder of a less urgent prompt in progress",
+            List.of(longPrompt),
+            List.of(),
+            0,
+            0,
+            100,
+            20_000),
+        new Row(
+            "prompt of another entry in progress",
+            List.of(),
+            List.of(longPrompt),
+            0,
+            0,
+            100,
+            20_000),
+        new Row(
+            "prompt that should be prefilled by now",
+            List.of(longPrompt),
+            List.of(),
+            0,
+            0,
+            900,
+            3_000),
         new Row(
             "less urgent waiting prompt does not count",
-            List.of(shortOne, new Sent(1, 30_000, 6)),
+            List.of(shortPrompt, new SentPrompt(1, 30_000, 6)),
             List.of(),
             0,
             0,
@@ -67,7 +88,7 @@
             1_000),
         new Row(
             "waiting prompt of equal priority counts",
-            List.of(shortOne, new Sent(1, 30_000, 6)),
+            List.of(shortPrompt, new SentPrompt(1, 30_000, 6)),
             List.of(),
             0,
             1,
@@ -75,7 +96,7 @@
             31_000),
         new Row(
             "most urgent prompt is next once the engine is free",
-            List.of(new Sent(1, 30_000, 2), shortOne),
+            List.of(new SentPrompt(1, 30_000, 2), shortPrompt),
             List.of(),
             20,
             0,
@@ -83,8 +104,8 @@
             1_000),
         new Row(
             "prompts of this and another entry add up",
-            List.of(longOne),
-            List.of(shortOne, shortOne),
+            List.of(longPrompt),
+            List.of(shortPrompt, shortPrompt),
             0,
             0,
             50,
@@ -93,17 +114,17 @@
 
   @ParameterizedTest
   @MethodSource("rows")
-  void countsWhatIsReadBefore(Row row) {
-    ReadingQueue queue = new ReadingQueue();
-    if (row.readMillis() > 0) {
-      Unread first = new Unread(0, 10, START);
+  void estimatesTokensAhead(Row row) {
+    PrefillQueue queue = new PrefillQueue();
+    if (row.prefilledMillis() > 0) {
+      PendingPrompt first = new PendingPrompt(0, 10, START);
       queue.add(first);
-      queue.read(first, at(row.readMillis()));
+      queue.prefilled(first, at(row.prefilledMillis()));
     }
-    row.own().forEach(s -> queue.add(s.unread()));
+    row.own().forEach(s -> queue.add(s.pending()));
     Instant now = at(row.nowMillis());
-    queue.heard("other", row.peers().stream().map(Sent::unread).toList(), now);
-    assertThat(queue.tokensAhead(row.priority(), SPEED, now), closeTo(row.ahead(), 0.5));
+    queue.updatePeer("other", row.peers().stream().map(SentPrompt::pending).toList(), now);
+    assertThat(queue.tokensAhead(row.priority(), TOKENS_PER_MILLI, now), closeTo(row.ahead(), 0.5));
   }
 
   private static Instant at(long millis) {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PrefixFetchTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PrefixFetchTest.java
@@ -40,9 +40,9 @@
   record Row(
       String name,
       List<PromptPart> shared,
-      Map<String, List<PromptPart>> read,
+      Map<String, List<PromptPart>> prefilled,
       double linkMbps,
-      Set<PlacementMechanism> off,
+      Set<PlacementMechanism> disabled,
       String source,
       long tokens) {
     @Override
@@ -52,45 +52,45 @@
   }
 
   static Stream<Row> rows() {
-    List<PromptPart> whole = List.of(COMMON, CONTRACT);
+    List<PromptPart> bothParts = List.of(COMMON, CONTRACT);
     Set<PlacementMechanism> none = Set.of();
     return Stream.of(
-        new Row("prefix cached nowhere", whole, Map.of(), FAST_LINK_MBPS, none, "none", 0),
+        new Row("prefix cached nowhere", bothParts, Map.of(), FAST_LINK_MBPS, none, "none", 0),
         new Row(
             "prefix cached in another region",
-            whole,
-            Map.of("far", whole),
+            bothParts,
+            Map.of("far", bothParts),
             FAST_LINK_MBPS,
             none,
             "far",
             13_000),
         new Row(
             "longest cached prefix is fetched",
-            whole,
-            Map.of("far", whole, "near", List.of(COMMON)),
+            bothParts,
+            Map.of("far", bothParts, "near", List.of(COMMON)),
             FAST_LINK_MBPS,
             none,
             "far",
             13_000),
         new Row(
             "source in the same failure domain is preferred",
-            whole,
-            Map.of("far", whole, "near", whole),
+            bothParts,
+            Map.of("far", bothParts, "near", bothParts),
             FAST_LINK_MBPS,
             none,
             "near",
             13_000),
         new Row(
             "only missing tokens are fetched",
-            whole,
-            Map.of("far", whole, "target", List.of(COMMON)),
+            bothParts,
+            Map.of("far", bothParts, "target", List.of(COMMON)),
             FAST_LINK_MBPS,
             none,
             "far",
             11_000),
         new Row(
             "part without the parts before it is not fetched",
-            whole,
+            bothParts,
             Map.of("far", List.of(CONTRACT)),
             FAST_LINK_MBPS,
             none,
@@ -105,12 +105,19 @@
             "none",
             0),
         new Row(
-            "prefilled if the link is slow", whole, Map.of("far", whole), 20_000, none, "none", 0),
-        new Row("prefilled without a link", whole, Map.of("far", whole), 0, none, "none", 0),
+            "prefilled if the link is slow",
+            bothParts,
+            Map.of("far", bothParts),
+            20_000,
+            none,
+            "none",
+            0),
+        new Row(
+            "prefilled without a link", bothParts, Map.of("far", bothParts), 0, none, "none", 0),
         new Row(
             "mechanism disabled",
-            whole,
-            Map.of("far", whole),
+            bothParts,
+            Map.of("far", bothParts),
             FAST_LINK_MBPS,
             EnumSet.of(PlacementMechanism.PREFIX_FETCH),
             "none",
@@ -119,15 +126,16 @@
 
   @ParameterizedTest
   @MethodSource("rows")
-  void fetchesWhatAnotherHolds(Row row) {
+  void fetchesPrefixFromCacheHolder(Row row) {
     Map<String, EndpointTracker> endpoints = new TreeMap<>();
     Map.of("target", "a", "near", "a", "far", "b")
         .forEach((id, domain) -> endpoints.put(id, tracker(id, domain)));
-    row.read().forEach((id, parts) -> endpoints.get(id).recordPrefix(parts, KV_TOKENS));
-    Placer.Context around =
-        around(List.of(endpoints.get("target")), endpoints.values(), row.linkMbps(), row.off());
+    row.prefilled().forEach((id, parts) -> endpoints.get(id).recordPrefix(parts, KV_TOKENS));
+    Placer.Context context =
+        context(
+            List.of(endpoints.get("target")), endpoints.values(), row.linkMbps(), row.disabled());
     Placement placement =
-        new Placer(3, new Random(1)).place(request(row.shared(), Set.of()), around, NOW);
+        new Placer(3, new Random(1)).place(request(row.shared(), Set.of()), context, NOW);
     Optional<Placement.PrefixFetch> fetch = ((Placement.ToEndpoint) placement).fetch();
     assertThat(fetch.map(f -> f.source().record().id()).orElse("none"), equalTo(row.source()));
     assertThat(fetch.map(Placement.PrefixFetch::tokens).orElse(0L), equalTo(row.tokens()));
@@ -136,36 +144,36 @@
   /**
    * A test case: an event at the only cache holder, and whether it is used as a source afterwards.
    */
-  record HolderRow(String name, BiConsumer<EndpointTracker, Instant> event, boolean source) {
+  record HolderRow(String name, BiConsumer<EndpointTracker, Instant> event, boolean isSource) {
     @Override
     public String toString() {
       return name;
     }
   }
 
-  static Stream<HolderRow> holders() {
+  static Stream<HolderRow> holderRows() {
     return Stream.of(
-        new HolderRow("answers", (e, now) -> begin(e, now).bytesReceived(now), true),
+        new HolderRow("answers", (e, now) -> startRequest(e, now).bytesReceived(now), true),
         new HolderRow(
             "completes a response",
-            (e, now) -> begin(e, now).finish(EndpointTracker.Outcome.ANSWERED, now),
+            (e, now) -> startRequest(e, now).finish(EndpointTracker.Outcome.ANSWERED, now),
             true),
         new HolderRow(
             "rejects a request because it is full",
-            (e, now) -> begin(e, now).finish(EndpointTracker.Outcome.NOT_RUN, now),
+            (e, now) -> startRequest(e, now).finish(EndpointTracker.Outcome.NOT_RUN, now),
             true),
         new HolderRow(
             "closes the connection during a response",
-            (e, now) -> begin(e, now).finish(EndpointTracker.Outcome.FAILED, now),
+            (e, now) -> startRequest(e, now).finish(EndpointTracker.Outcome.FAILED, now),
             false),
         new HolderRow(
             "closed a connection during a response 5 s ago",
             (e, now) ->
-                begin(e, now.minusSeconds(5))
+                startRequest(e, now.minusSeconds(5))
                     .finish(EndpointTracker.Outcome.FAILED, now.minusSeconds(5)),
             true),
         new HolderRow(
-            "has an overdue response", (e, now) -> begin(e, now.minusSeconds(2)), false),
+            "has an overdue response", (e, now) -> startRequest(e, now.minusSeconds(2)), false),
         new HolderRow("refuses connections", EndpointTracker::recordConnectFailure, false),
         new HolderRow(
             "is lost",
@@ -175,10 +183,10 @@
 
   @ParameterizedTest
   @MethodSource("holders")
-  void onlySoundHoldersYield(HolderRow row) {
+  void onlyHealthyHoldersAreSources(HolderRow row) {
     EndpointTracker holder = tracker("holder", "a");
     row.event().accept(holder, NOW);
-    assertThat(holder.isPrefixSource(NOW), equalTo(row.source()));
+    assertThat(holder.isPrefixSource(NOW), equalTo(row.isSource()));
   }
 
   /**
@@ -186,15 +194,15 @@
    * attempt must not fetch from that holder.
    */
   @Test
-  void passedOverHolderIsNoSource() {
+  void excludedHolderIsNoSource() {
     EndpointTracker holder = tracker("holder", "a");
     holder.recordPrefix(List.of(COMMON, CONTRACT), KV_TOKENS);
-    Placer.Context around =
-        around(List.of(tracker("target", "a")), List.of(holder), FAST_LINK_MBPS, Set.of());
-    PlacementRequest again = request(List.of(COMMON, CONTRACT), Set.of("holder"));
-    Placement.ToEndpoint here =
-        (Placement.ToEndpoint) new Placer(3, new Random(1)).place(again, around, NOW);
-    assertThat(here.fetch().isPresent(), equalTo(false));
+    Placer.Context context =
+        context(List.of(tracker("target", "a")), List.of(holder), FAST_LINK_MBPS, Set.of());
+    PlacementRequest retry = request(List.of(COMMON, CONTRACT), Set.of("holder"));
+    Placement.ToEndpoint placement =
+        (Placement.ToEndpoint) new Placer(3, new Random(1)).place(retry, context, NOW);
+    assertThat(placement.fetch().isPresent(), equalTo(false));
   }
 
   /**
@@ -204,48 +212,51 @@
    * the requests that follow are not placed behind prefills missing from the estimates.
    */
   @Test
-  void promptsOfCrashedEngineAreKnownToBeReadInFull() {
+  void accountsForFullPrefillAfterCrash() {
     EndpointTracker crashed = tracker("crashed", "a");
     long[] contractTokens = {10_000, 17_000, 23_000};
     List<PlacementRequest> prompts = new ArrayList<>();
     for (long tokens : contractTokens) {
       prompts.add(request(List.of(new PromptPart("contract-" + tokens, tokens)), Set.of()));
     }
-    List<EndpointTracker.InFlightRequest> open = new ArrayList<>();
+    List<EndpointTracker.InFlightRequest> requests = new ArrayList<>();
     for (PlacementRequest prompt : prompts) {
-      open.add(crashed.startRequest(prompt, 0, KV_TOKENS, NOW));
+      requests.add(crashed.startRequest(prompt, 0, KV_TOKENS, NOW));
       crashed.recordPrefix(prompt.sharedParts(), KV_TOKENS);
     }
-    open.forEach(ticket -> ticket.finish(EndpointTracker.Outcome.FAILED, NOW));
-    List<EndpointTracker> left = List.of(tracker("left-1", "a"), tracker("left-2", "a"));
+    requests.forEach(ticket -> ticket.finish(EndpointTracker.Outcome.FAILED, NOW));
+    List<EndpointTracker> survivors = List.of(tracker("left-1", "a"), tracker("left-2", "a"));
     List<EndpointTracker> holders =
-        Stream.concat(left.stream(), Stream.of(crashed))
+        Stream.concat(survivors.stream(), Stream.of(crashed))
             .filter(e -> e.isPrefixSource(NOW))
             .toList();
-    long unread = 0;
+    long prefillTokens = 0;
     for (PlacementRequest prompt : prompts) {
-      Placement.ToEndpoint here =
+      Placement.ToEndpoint placement =
           (Placement.ToEndpoint)
               new Placer(3, new Random(1))
-                  .place(prompt, around(left, holders, FAST_LINK_MBPS, Set.of()), NOW);
-      long fetched = here.fetch().map(Placement.PrefixFetch::tokens).orElse(0L);
-      unread += here.endpoint().startRequest(prompt, fetched, KV_TOKENS, NOW).prefillTokens();
+                  .place(prompt, context(survivors, holders, FAST_LINK_MBPS, Set.of()), NOW);
+      long fetched = placement.fetch().map(Placement.PrefixFetch::tokens).orElse(0L);
+      prefillTokens +=
+          placement.endpoint().startRequest(prompt, fetched, KV_TOKENS, NOW).prefillTokens();
     }
-    assertThat(unread, equalTo(prompts.stream().mapToLong(PlacementRequest::promptTokens).sum()));
-    for (EndpointTracker engine : left) {
+    assertThat(
+        prefillTokens, equalTo(prompts.stream().mapToLong(PlacementRequest::promptTokens).sum()));
+    for (EndpointTracker engine : survivors) {
       assertThat(engine.inFlight(), greaterThan(0));
     }
   }
 
-  private static EndpointTracker.InFlightRequest begin(EndpointTracker endpoint, Instant at) {
+  private static EndpointTracker.InFlightRequest startRequest(
+      EndpointTracker endpoint, Instant at) {
     return endpoint.startRequest(request(List.of(COMMON), Set.of()), 0, KV_TOKENS, at);
   }
 
-  private static Placer.Context around(
+  private static Placer.Context context(
       Collection<EndpointTracker> endpoints,
       Collection<EndpointTracker> holders,
       double linkMbps,
-      Set<PlacementMechanism> off) {
+      Set<PlacementMechanism> disabled) {
     return new Placer.Context(
         endpoints,
         "e1",
@@ -257,7 +268,7 @@
         "here",
         holders,
         Optional.of(new ServiceSpec.Engine(128, KV_TOKENS, 4, 35_136, linkMbps)),
-        off);
+        disabled);
   }
 
   private static EndpointTracker tracker(String id, String domain) {
@@ -268,11 +279,18 @@
     return new EndpointRecord(id, 0, "s", "10.0.0.1:1", domain, 128, state, 1, 0);
   }
 
-  private static PlacementRequest request(List<PromptPart> shared, Set<String> passedOver) {
+  private static PlacementRequest request(List<PromptPart> shared, Set<String> excludedEndpoints) {
     List<PromptPart> parts =
         Stream.concat(shared.stream(), Stream.of(new PromptPart("own", 500))).toList();
     long tokens = parts.stream().mapToLong(PromptPart::tokens).sum();
     return new PlacementRequest(
-        "s", 0, tokens, 100, parts, Duration.ofMillis(1_200), Duration.ofSeconds(10), passedOver);
+        "s",
+        0,
+        tokens,
+        100,
+        parts,
+        Duration.ofMillis(1_200),
+        Duration.ofSeconds(10),
+        excludedEndpoints);
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/RegionLoadsTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/RegionLoadsTest.java
@@ -30,7 +30,7 @@
    * @param senders the number of entries of this region
    * @param failed a region that could not be reached at the start
    * @param laterMillis the time of the placement, in ms after the start
-   * @param offered the expected region and wait
+   * @param expected the expected region and wait
    */
   record Row(
       String name,
@@ -40,7 +40,7 @@
       int senders,
       String failed,
       long laterMillis,
-      String offered) {
+      String expected) {
     @Override
     public String toString() {
       return name;
@@ -51,7 +51,15 @@
     return Stream.of(
         new Row("shortest wait", 300, 100, 0, 1, NONE, 500, "near 100"),
         new Row("own relays add to the wait", 300, 100, 1, 1, NONE, 500, "near 150"),
-        new Row("relays of the region's other entries are estimated", 300, 100, 1, 4, NONE, 500, "far 300"),
+        new Row(
+            "relays of the region's other entries are estimated",
+            300,
+            100,
+            1,
+            4,
+            NONE,
+            500,
+            "far 300"),
         new Row("unreachable region", 300, 100, 0, 1, "near", 500, "far 300"),
         new Row("still unreachable", 300, 100, 0, 1, "near", 1_250, "far 300"),
         new Row("two reports missing", 300, 100, 0, 1, NONE, 1_300, NONE));
@@ -59,7 +67,7 @@
 
   @ParameterizedTest
   @MethodSource("rows")
-  void offersTheRegionWithTheLeastWait(Row row) {
+  void offersRegionWithShortestWait(Row row) {
     RegionLoads loads = new RegionLoads();
     loads.update("far", load(row.farWait()), START);
     loads.update("near", load(row.nearWait()), START);
@@ -77,7 +85,7 @@
             .best(request, Set.of(), Set.of(), START.plusMillis(row.laterMillis()))
             .map(o -> o.region() + " " + Math.round(o.waitMillis()))
             .orElse(NONE);
-    assertThat(offered, equalTo(row.offered()));
+    assertThat(offered, equalTo(row.expected()));
   }
 
   /**
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/StreamReplay.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/StreamReplay.java
@@ -20,12 +20,12 @@
  */
 final class StreamReplay {
   private static final double CHUNK_TOKENS = 4_096;
-  private static final double TOKENS_PER_MILLI = 56;
+  private static final double PREFILL_TOKENS_PER_MILLI = 56;
   private static final double STEP_MILLIS = 6.45;
   private static final double STEP_MILLIS_PER_STREAM = 0.1;
   private static final int EVENT_TOKENS = 4;
   private static final long PROMPT_TOKENS = 300;
-  private static final int SUBJECTS = 50;
+  private static final int SHARED_PREFIXES = 50;
   private static final Duration OBJECTIVE = Duration.ofSeconds(2);
   private static final Duration DEADLINE = Duration.ofSeconds(5);
 
@@ -33,40 +33,43 @@
    * Standard deviation of the logarithm of the ratio between the callers' length hints and the
    * actual lengths.
    */
-  private static final double HINT_ERROR = 0.5;
+  private static final double HINT_LOG_DEVIATION = 0.5;
 
   private final Random random;
   private final Placer placer;
-  private final Set<PlacementMechanism> switchedOff;
+  private final Set<PlacementMechanism> disabledMechanisms;
   private final Instant start = Instant.parse("2030-01-01T00:00:00Z");
   private final List<Engine> engines = new ArrayList<>();
-  private long lengthMillis;
-  private int asked;
-  private int ended;
+  private long durationMillis;
+  private int countedRequests;
+  private int countedOnTime;
 
   private static final class Stream {
     private final EndpointTracker.InFlightRequest ticket;
     private final Instant deadline;
-    private final int tokens;
-    private final boolean counts;
-    private double promptLeft = PROMPT_TOKENS;
-    private int made;
+    private final int outputTokens;
+    private final boolean counted;
+    private double remainingPromptTokens = PROMPT_TOKENS;
+    private int producedTokens;
 
     private Stream(
-        EndpointTracker.InFlightRequest ticket, Instant deadline, int tokens, boolean counts) {
+        EndpointTracker.InFlightRequest ticket,
+        Instant deadline,
+        int outputTokens,
+        boolean counted) {
       this.ticket = ticket;
       this.deadline = deadline;
-      this.tokens = tokens;
-      this.counts = counts;
+      this.outputTokens = outputTokens;
+      this.counted = counted;
     }
   }
 
   private static final class Engine {
     private final EndpointTracker tracker;
     private final double foreignTokensPerMilli;
-    private final Deque<Stream> unread = new ArrayDeque<>();
+    private final Deque<Stream> pendingPrompts = new ArrayDeque<>();
     private final List<Stream> streams = new ArrayList<>();
-    private double foreignLeft;
+    private double remainingForeignTokens;
     private double nextStepMillis;
 
     private Engine(EndpointTracker tracker, double foreignTokensPerMilli) {
@@ -81,11 +84,12 @@
    * @param foreignTokensPerMilli for each engine the prompt tokens a millisecond that other callers
    *     send
    */
-  StreamReplay(List<Double> foreignTokensPerMilli, Set<PlacementMechanism> switchedOff, long seed) {
-    this.switchedOff = switchedOff;
+  StreamReplay(
+      List<Double> foreignTokensPerMilli, Set<PlacementMechanism> disabledMechanisms, long seed) {
+    this.disabledMechanisms = disabledMechanisms;
     random = new Random(seed);
     placer = new Placer(3, new Random(seed + 1));
-    for (double foreign : foreignTokensPerMilli) {
+    for (double foreignRate : foreignTokensPerMilli) {
       EndpointRecord record =
           new EndpointRecord(
               "engine-" + engines.size(),
@@ -97,38 +101,40 @@
               EndpointState.READY,
               1,
               0);
-      engines.add(new Engine(new EndpointTracker(record, start), foreign));
+      engines.add(new Engine(new EndpointTracker(record, start), foreignRate));
     }
   }
 
   /**
    * Runs requests that arrive at random and returns the share of their responses that end in time.
    */
-  double run(double perSecond, double meanTokens, Duration length) {
-    lengthMillis = length.toMillis();
-    for (long ms = 0; ms < lengthMillis; ms++) {
-      if (random.nextDouble() < perSecond / 1_000) {
-        arrive(Math.max(EVENT_TOKENS, (int) (-meanTokens * Math.log(random.nextDouble()))), ms);
+  double run(double requestsPerSecond, double meanOutputTokens, Duration duration) {
+    durationMillis = duration.toMillis();
+    for (long ms = 0; ms < durationMillis; ms++) {
+      if (random.nextDouble() < requestsPerSecond / 1_000) {
+        arrive(
+            Math.max(EVENT_TOKENS, (int) (-meanOutputTokens * Math.log(random.nextDouble()))), ms);
       }
       for (Engine engine : engines) {
-        engine.foreignLeft += engine.foreignTokensPerMilli;
+        engine.remainingForeignTokens += engine.foreignTokensPerMilli;
         if (ms >= engine.nextStepMillis) {
           step(engine, ms);
         }
       }
     }
-    return (double) ended / asked;
+    return (double) countedOnTime / countedRequests;
   }
 
-  private void arrive(int tokens, long ms) {
+  private void arrive(int outputTokens, long ms) {
     final Instant now = start.plusMillis(ms);
-    final boolean counts = ms < lengthMillis - DEADLINE.toMillis();
-    asked += counts ? 1 : 0;
-    long hint = Math.round(tokens * Math.exp(HINT_ERROR * random.nextGaussian()));
+    final boolean counted = ms < durationMillis - DEADLINE.toMillis();
+    countedRequests += counted ? 1 : 0;
+    long lengthHint =
+        Math.round(outputTokens * Math.exp(HINT_LOG_DEVIATION * random.nextGaussian()));
     PlacementRequest request =
         new PlacementRequest(
-            "engine", 0, PROMPT_TOKENS, hint, parts(), OBJECTIVE, DEADLINE, Set.of());
-    Placer.Context around =
+            "engine", 0, PROMPT_TOKENS, lengthHint, parts(), OBJECTIVE, DEADLINE, Set.of());
+    Placer.Context context =
         new Placer.Context(
             engines.stream().map(e -> e.tracker).toList(),
             "entry",
@@ -140,13 +146,13 @@
             "here",
             List.of(),
             Optional.empty(),
-            switchedOff);
-    if (placer.place(request, around, now) instanceof Placement.ToEndpoint here) {
+            disabledMechanisms);
+    if (placer.place(request, context, now) instanceof Placement.ToEndpoint local) {
       Engine engine =
-          engines.stream().filter(e -> e.tracker == here.endpoint()).findFirst().orElseThrow();
+          engines.stream().filter(e -> e.tracker == local.endpoint()).findFirst().orElseThrow();
       EndpointTracker.InFlightRequest ticket =
           engine.tracker.startRequest(request, 0, 345_000, now);
-      engine.unread.add(new Stream(ticket, now.plus(DEADLINE), tokens, counts));
+      engine.pendingPrompts.add(new Stream(ticket, now.plus(DEADLINE), outputTokens, counted));
     }
   }
 
@@ -156,47 +162,47 @@
    */
   private List<PromptPart> parts() {
     return List.of(
-        new PromptPart("shared" + random.nextInt(SUBJECTS), PROMPT_TOKENS / 3),
+        new PromptPart("shared" + random.nextInt(SHARED_PREFIXES), PROMPT_TOKENS / 3),
         new PromptPart("own" + random.nextLong(), PROMPT_TOKENS - PROMPT_TOKENS / 3));
   }
 
   /** Runs one step: prefills a chunk of prompts, then produces one token for each stream. */
   private void step(Engine engine, long ms) {
     final Instant now = start.plusMillis(ms);
-    double room = CHUNK_TOKENS;
-    double foreign = Math.min(room, engine.foreignLeft);
-    engine.foreignLeft -= foreign;
-    room -= foreign;
-    while (room > 0 && !engine.unread.isEmpty()) {
-      Stream next = engine.unread.peek();
-      double read = Math.min(room, next.promptLeft);
-      next.promptLeft -= read;
-      room -= read;
-      if (next.promptLeft <= 0) {
-        engine.streams.add(engine.unread.remove());
+    double remainingChunkTokens = CHUNK_TOKENS;
+    double foreignTokens = Math.min(remainingChunkTokens, engine.remainingForeignTokens);
+    engine.remainingForeignTokens -= foreignTokens;
+    remainingChunkTokens -= foreignTokens;
+    while (remainingChunkTokens > 0 && !engine.pendingPrompts.isEmpty()) {
+      Stream next = engine.pendingPrompts.peek();
+      double prefilledTokens = Math.min(remainingChunkTokens, next.remainingPromptTokens);
+      next.remainingPromptTokens -= prefilledTokens;
+      remainingChunkTokens -= prefilledTokens;
+      if (next.remainingPromptTokens <= 0) {
+        engine.streams.add(engine.pendingPrompts.remove());
       }
     }
     engine.nextStepMillis =
         ms
             + STEP_MILLIS
             + STEP_MILLIS_PER_STREAM * engine.streams.size()
-            + (CHUNK_TOKENS - room) / TOKENS_PER_MILLI;
-    engine.streams.removeIf(s -> feed(s, now));
+            + (CHUNK_TOKENS - remainingChunkTokens) / PREFILL_TOKENS_PER_MILLI;
+    engine.streams.removeIf(s -> produceToken(s, now));
   }
 
-  private boolean feed(Stream stream, Instant now) {
-    stream.made++;
-    boolean over = stream.made >= stream.tokens;
+  private boolean produceToken(Stream stream, Instant now) {
+    stream.producedTokens++;
+    boolean finished = stream.producedTokens >= stream.outputTokens;
     boolean late = now.isAfter(stream.deadline);
-    if (stream.made % EVENT_TOKENS == 0 || over) {
+    if (stream.producedTokens % EVENT_TOKENS == 0 || finished) {
       stream.ticket.bytesReceived(now);
       stream.ticket.eventsReceived(EVENT_TOKENS, now);
     }
-    if (over || late) {
-      ended += late || !stream.counts ? 0 : 1;
+    if (finished || late) {
+      countedOnTime += late || !stream.counted ? 0 : 1;
       stream.ticket.finish(
           late ? EndpointTracker.Outcome.CANCELLED : EndpointTracker.Outcome.ANSWERED, now);
     }
-    return over || late;
+    return finished || late;
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/StreamReplayTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/StreamReplayTest.java
@@ -18,8 +18,8 @@
  * prefill load.
  */
 class StreamReplayTest {
-  private static final Duration LENGTH = Duration.ofSeconds(40);
-  private static final double MEAN_TOKENS = 60;
+  private static final Duration DURATION = Duration.ofSeconds(40);
+  private static final double MEAN_OUTPUT_TOKENS = 60;
 
   /**
    * A test case: the prompt tokens a millisecond that other callers send to each engine, the rate
@@ -27,7 +27,11 @@
    * with the time per output token disabled.
    */
   record Row(
-      String name, List<Double> foreign, double perSecond, double least, double mostWithout) {
+      String name,
+      List<Double> foreignTokensPerMilli,
+      double requestsPerSecond,
+      double minOnTimeShare,
+      double maxOnTimeShareWithout) {
     @Override
     public String toString() {
       return name;
@@ -43,18 +47,19 @@
 
   @ParameterizedTest
   @MethodSource("rows")
-  void answersEndInTimeWhereTokensComeFast(Row row) {
-    assertThat(share(row, Set.of()), greaterThanOrEqualTo(row.least()));
+  void responsesEndInTime(Row row) {
+    assertThat(onTimeShare(row, Set.of()), greaterThanOrEqualTo(row.minOnTimeShare()));
   }
 
   @ParameterizedTest
   @MethodSource("rows")
-  void byFirstBytesAloneFewerDo(Row row) {
-    double without = share(row, EnumSet.of(PlacementMechanism.TOKEN_PACE));
-    assertThat(without, lessThanOrEqualTo(row.mostWithout()));
+  void fewerResponsesEndInTimeByFirstByteAlone(Row row) {
+    double onTimeShareWithout = onTimeShare(row, EnumSet.of(PlacementMechanism.TOKEN_PACE));
+    assertThat(onTimeShareWithout, lessThanOrEqualTo(row.maxOnTimeShareWithout()));
   }
 
-  private static double share(Row row, Set<PlacementMechanism> off) {
-    return new StreamReplay(row.foreign(), off, 7).run(row.perSecond(), MEAN_TOKENS, LENGTH);
+  private static double onTimeShare(Row row, Set<PlacementMechanism> disabled) {
+    return new StreamReplay(row.foreignTokensPerMilli(), disabled, 7)
+        .run(row.requestsPerSecond(), MEAN_OUTPUT_TOKENS, DURATION);
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/TrackedEndpointsTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/TrackedEndpointsTest.java
@@ -26,8 +26,8 @@
   private static final Duration LEASE = Duration.ofSeconds(4);
 
   private final List<String> changes = new ArrayList<>();
-  private final List<String> ended = new ArrayList<>();
-  private final List<String> returned = new ArrayList<>();
+  private final List<String> lostIncarnations = new ArrayList<>();
+  private final List<String> returnedIncarnations = new ArrayList<>();
   private final TrackedEndpoints endpoints =
       new TrackedEndpoints(
           new TrackedEndpoints.Listener() {
@@ -38,12 +38,12 @@
 
             @Override
             public void incarnationLost(EndpointTracker endpoint) {
-              ended.add(endpoint.record().incarnationId());
+              lostIncarnations.add(endpoint.record().incarnationId());
             }
 
             @Override
             public void incarnationReturned(EndpointRecord record) {
-              returned.add(record.incarnationId());
+              returnedIncarnations.add(record.incarnationId());
             }
           });
 
@@ -51,11 +51,11 @@
     return new EndpointRecord(id, start, "model", id + ":80", "north-a", 8, state, sequence, 0);
   }
 
-  private void tell(boolean whole, Instant now, EndpointRecord... records) {
-    endpoints.update(new FleetMessage.RosterUpdate("control", 0, whole, List.of(records)), now);
+  private void sendRoster(boolean complete, Instant now, EndpointRecord... records) {
+    endpoints.update(new FleetMessage.RosterUpdate("control", 0, complete, List.of(records)), now);
   }
 
-  static Stream<Arguments> ends() {
+  static Stream<Arguments> nextRecords() {
     return Stream.of(
         Arguments.of(record("e", 1, EndpointState.LOST, 1), List.of("e@1")),
         Arguments.of(record("e", 2, EndpointState.READY, 1), List.of("e@1")),
@@ -67,19 +67,19 @@
 
   @ParameterizedTest
   @MethodSource("ends")
-  void tellsOfEndpointsThatEnded(EndpointRecord next, List<String> expected) {
-    tell(false, START, record("e", 1, EndpointState.READY, 1));
-    tell(false, START, next, next);
-    assertThat(ended, is(expected));
+  void reportsLostIncarnations(EndpointRecord next, List<String> expected) {
+    sendRoster(false, START, record("e", 1, EndpointState.READY, 1));
+    sendRoster(false, START, next, next);
+    assertThat(lostIncarnations, is(expected));
   }
 
   @Test
-  void endpointMissingInWholeRosterIsLost() {
-    tell(false, START, record("e", 1, EndpointState.READY, 1));
-    tell(true, START.plusSeconds(1));
-    assertThat("record too recent", ended, hasSize(0));
-    tell(true, START.plusSeconds(4));
-    assertThat(ended, is(List.of("e@1")));
+  void endpointMissingFromCompleteRosterIsLost() {
+    sendRoster(false, START, record("e", 1, EndpointState.READY, 1));
+    sendRoster(true, START.plusSeconds(1));
+    assertThat("record too recent", lostIncarnations, hasSize(0));
+    sendRoster(true, START.plusSeconds(4));
+    assertThat(lostIncarnations, is(List.of("e@1")));
     assertThat(changes, is(List.of("e READY", "e LOST")));
   }
 
@@ -92,28 +92,28 @@
    */
   @ParameterizedTest
   @MethodSource("departures")
-  void forgetsEndpointsThatTheControlInstanceHasForgotten(EndpointState last) {
+  void removesEndpointsThatControlInstanceRemoved(EndpointState finalState) {
     EndpointRoster control = new EndpointRoster();
-    int wholeRostersInTheEnd = 0;
+    int lateCompleteRosters = 0;
     for (int second = 0; second < 800; second++) {
       Instant now = START.plusSeconds(second);
       if (second < 600) {
-        pass(control, record("e" + second, 1, EndpointState.READY, 1), now);
+        announce(control, record("e" + second, 1, EndpointState.READY, 1), now);
       }
-      if (last == EndpointState.GONE && second >= 10 && second < 610) {
-        pass(control, record("e" + (second - 10), 1, EndpointState.GONE, 2), now);
+      if (finalState == EndpointState.GONE && second >= 10 && second < 610) {
+        announce(control, record("e" + (second - 10), 1, EndpointState.GONE, 2), now);
       }
-      tell(false, now, control.expire(now, LEASE).toArray(EndpointRecord[]::new));
+      sendRoster(false, now, control.expire(now, LEASE).toArray(EndpointRecord[]::new));
       if (control.digest() != endpoints.digest()) {
-        wholeRostersInTheEnd += second < 760 ? 0 : 1;
-        tell(true, now, control.records(now).toArray(EndpointRecord[]::new));
+        lateCompleteRosters += second < 760 ? 0 : 1;
+        sendRoster(true, now, control.records(now).toArray(EndpointRecord[]::new));
       }
       if (second == 599) {
         assertThat(endpoints.size(), lessThanOrEqualTo(2 * control.size()));
         assertThat(endpoints.trackers().size(), lessThanOrEqualTo(2 * control.size()));
       }
     }
-    assertThat("complete rosters sent after the last change", wholeRostersInTheEnd, is(0));
+    assertThat("complete rosters sent after the last change", lateCompleteRosters, is(0));
     assertThat("records kept", endpoints.size(), is(control.size()));
     assertThat("trackers kept", endpoints.trackers(), hasSize(0));
   }
@@ -123,50 +123,50 @@
    * entries continue to send to them.
    */
   @Test
-  void endpointThatWasForgottenKeepsTheRateThatItStated() {
-    tell(true, START, record("e", 1, EndpointState.READY, 1));
+  void removedEndpointKeepsAdvertisedRate() {
+    sendRoster(true, START, record("e", 1, EndpointState.READY, 1));
     endpoints
         .tracker("e")
         .orElseThrow()
         .rateLimit()
         .updateFromResponse(OptionalDouble.of(1.1), START, START.plusMillis(10));
-    tell(true, START.plusSeconds(10));
-    tell(true, START.plusSeconds(11));
+    sendRoster(true, START.plusSeconds(10));
+    sendRoster(true, START.plusSeconds(11));
     assertThat(endpoints.tracker("e").isPresent(), is(false));
-    tell(true, START.plusSeconds(12), record("e", 1, EndpointState.READY, 2));
-    assertThat(rateOf("e"), is(OptionalDouble.of(1.1)));
-    tell(true, START.plusSeconds(13), record("e", 2, EndpointState.READY, 1));
-    assertThat("another incarnation", rateOf("e"), is(OptionalDouble.empty()));
+    sendRoster(true, START.plusSeconds(12), record("e", 1, EndpointState.READY, 2));
+    assertThat(advertisedRate("e"), is(OptionalDouble.of(1.1)));
+    sendRoster(true, START.plusSeconds(13), record("e", 2, EndpointState.READY, 1));
+    assertThat("another incarnation", advertisedRate("e"), is(OptionalDouble.empty()));
   }
 
   @Test
-  void endpointThatSaidThatItLeavesGetsNoWorkWhateverIsAnnouncedOfIt() {
-    tell(true, START, record("e", 1, EndpointState.READY, 1));
+  void drainingEndpointGetsNoRequestsWhateverIsAnnounced() {
+    sendRoster(true, START, record("e", 1, EndpointState.READY, 1));
     endpoints.tracker("e").orElseThrow().conditions().markDraining();
-    tell(true, START.plusSeconds(1), record("e", 1, EndpointState.READY, 2));
-    assertThat(takesWork("e", START.plusSeconds(1)), is(false));
-    tell(true, START.plusSeconds(10));
-    tell(true, START.plusSeconds(11));
-    tell(true, START.plusSeconds(12), record("e", 1, EndpointState.READY, 3));
-    assertThat("after its removal", takesWork("e", START.plusSeconds(12)), is(false));
-    tell(true, START.plusSeconds(13), record("e", 2, EndpointState.READY, 1));
-    assertThat("another incarnation", takesWork("e", START.plusSeconds(13)), is(true));
+    sendRoster(true, START.plusSeconds(1), record("e", 1, EndpointState.READY, 2));
+    assertThat(acceptsRequests("e", START.plusSeconds(1)), is(false));
+    sendRoster(true, START.plusSeconds(10));
+    sendRoster(true, START.plusSeconds(11));
+    sendRoster(true, START.plusSeconds(12), record("e", 1, EndpointState.READY, 3));
+    assertThat("after its removal", acceptsRequests("e", START.plusSeconds(12)), is(false));
+    sendRoster(true, START.plusSeconds(13), record("e", 2, EndpointState.READY, 1));
+    assertThat("another incarnation", acceptsRequests("e", START.plusSeconds(13)), is(true));
   }
 
-  private boolean takesWork(String endpoint, Instant now) {
+  private boolean acceptsRequests(String endpoint, Instant now) {
     return endpoints.tracker(endpoint).orElseThrow().acceptsRequests(now);
   }
 
-  private OptionalDouble rateOf(String endpoint) {
+  private OptionalDouble advertisedRate(String endpoint) {
     return endpoints.tracker(endpoint).orElseThrow().rateLimit().perSecond();
   }
 
-  private void pass(EndpointRoster control, EndpointRecord record, Instant now) {
+  private void announce(EndpointRoster control, EndpointRecord record, Instant now) {
     control.applyAnnouncement(record, now);
-    tell(false, now, record);
+    sendRoster(false, now, record);
   }
 
-  static Stream<EndpointState> departures() {
+  static Stream<EndpointState> finalStates() {
     return Stream.of(EndpointState.LOST, EndpointState.GONE);
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/SilentEndpointTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/UnresponsiveEndpointTest.java
@@ -21,7 +21,7 @@
  * against an unresponsive endpoint that looks idle again, and so gets all new requests, once its
  * requests have been cancelled.
  */
-class SilentEndpointTest {
+class UnresponsiveEndpointTest {
   private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
 
   /**
@@ -32,7 +32,7 @@
       BiConsumer<EndpointTracker, InFlightRequest> events,
       long atMillis,
       boolean suspect,
-      boolean unproven) {
+      boolean unconfirmed) {
     @Override
     public String toString() {
       return name;
@@ -50,7 +50,11 @@
             true,
             true),
         new Row(
-            "caller disconnected while unresponsive", (e, t) -> t.finish(Outcome.CANCELLED, at(1_000)), 1_100, true, true),
+            "caller disconnected while unresponsive",
+            (e, t) -> t.finish(Outcome.CANCELLED, at(1_000)),
+            1_100,
+            true,
+            true),
         new Row(
             "caller disconnected before the timeout",
             (e, t) -> t.finish(Outcome.CANCELLED, at(300)),
@@ -63,34 +67,39 @@
             1_300,
             false,
             true),
-        new Row("backoff grows", SilentEndpointTest::silentTwice, 3_400, true, true),
-        new Row("response clears the state", SilentEndpointTest::silentThenAnswers, 1_500, false, false));
+        new Row("backoff grows", UnresponsiveEndpointTest::unresponsiveTwice, 3_400, true, true),
+        new Row(
+            "response clears the state",
+            UnresponsiveEndpointTest::unresponsiveThenResponds,
+            1_500,
+            false,
+            false));
   }
 
   @ParameterizedTest
   @MethodSource("rows")
-  void isAvoidedUntilItAnswers(Row row) {
+  void isSuspectUntilItResponds(Row row) {
     EndpointTracker endpoint =
         new EndpointTracker(
             new EndpointRecord("e", 0, "s", "10.0.0.1:1", "a", 8, EndpointState.READY, 1, 0),
             START);
-    InFlightRequest ticket = begin(endpoint, START);
+    InFlightRequest ticket = startRequest(endpoint, START);
     row.events().accept(endpoint, ticket);
     assertThat(endpoint.isSuspect(at(row.atMillis())), equalTo(row.suspect()));
-    assertThat(endpoint.isUnconfirmed(), equalTo(row.unproven()));
+    assertThat(endpoint.isUnconfirmed(), equalTo(row.unconfirmed()));
   }
 
-  private static void silentTwice(EndpointTracker endpoint, InFlightRequest ticket) {
+  private static void unresponsiveTwice(EndpointTracker endpoint, InFlightRequest ticket) {
     ticket.finish(Outcome.FAILED, at(1_000));
-    begin(endpoint, at(2_000)).finish(Outcome.FAILED, at(3_000));
+    startRequest(endpoint, at(2_000)).finish(Outcome.FAILED, at(3_000));
   }
 
-  private static void silentThenAnswers(EndpointTracker endpoint, InFlightRequest ticket) {
+  private static void unresponsiveThenResponds(EndpointTracker endpoint, InFlightRequest ticket) {
     ticket.finish(Outcome.FAILED, at(1_000));
-    begin(endpoint, at(1_200)).bytesReceived(at(1_300));
+    startRequest(endpoint, at(1_200)).bytesReceived(at(1_300));
   }
 
-  private static InFlightRequest begin(EndpointTracker endpoint, Instant now) {
+  private static InFlightRequest startRequest(EndpointTracker endpoint, Instant now) {
     PlacementRequest request =
         new PlacementRequest(
             "s", 0, 300, 40, List.of(), Duration.ofSeconds(2), Duration.ofSeconds(5), Set.of());
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/stream/EventSplitterTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/stream/EventSplitterTest.java
@@ -17,7 +17,7 @@
    * A test case: the id of the last event already forwarded, the bytes, and the expected forwarded
    * bytes, last id and incomplete event.
    */
-  record Row(long known, String bytes, String passedOn, long lastId, String rest) {}
+  record Row(long lastForwarded, String bytes, String forwarded, long lastId, String incomplete) {}
 
   static Stream<Row> rows() {
     return Stream.of(
@@ -30,19 +30,23 @@
 
   @ParameterizedTest
   @MethodSource("rows")
-  void passesOnWholeNewEvents(Row row) {
-    for (int piece : new int[] {1, 5, 1_000}) {
+  void forwardsCompleteNewEvents(Row row) {
+    for (int chunkSize : new int[] {1, 5, 1_000}) {
       EventSplitter splitter =
-          new EventSplitter(row.known() < 0 ? OptionalLong.empty() : OptionalLong.of(row.known()));
+          new EventSplitter(
+              row.lastForwarded() < 0
+                  ? OptionalLong.empty()
+                  : OptionalLong.of(row.lastForwarded()));
       StringBuilder out = new StringBuilder();
-      for (int i = 0; i < row.bytes().length(); i += piece) {
-        String part = row.bytes().substring(i, Math.min(row.bytes().length(), i + piece));
-        out.append(new String(splitter.append(part.getBytes(StandardCharsets.UTF_8))));
+      for (int i = 0; i < row.bytes().length(); i += chunkSize) {
+        String chunk = row.bytes().substring(i, Math.min(row.bytes().length(), i + chunkSize));
+        out.append(new String(splitter.append(chunk.getBytes(StandardCharsets.UTF_8))));
       }
-      assertThat(out.toString(), equalTo(row.passedOn()));
+      assertThat(out.toString(), equalTo(row.forwarded()));
       assertThat(splitter.lastId().orElse(-1), equalTo(row.lastId()));
       assertThat(
-          new String(splitter.incompleteEvent(), StandardCharsets.UTF_8), equalTo(row.rest()));
+          new String(splitter.incompleteEvent(), StandardCharsets.UTF_8),
+          equalTo(row.incomplete()));
     }
   }
 }
