--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/ExtraSendBudget.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/ExtraSendBudget.java
@@ -61,8 +61,8 @@
 
   private Deque<Instant> recent(Map<String, Deque<Instant>> times, String service, Instant now) {
     Deque<Instant> recent = times.computeIfAbsent(service, s -> new ArrayDeque<>());
-    Instant horizon = now.minus(window);
-    while (!recent.isEmpty() && recent.peekFirst().isBefore(horizon)) {
+    Instant windowStart = now.minus(window);
+    while (!recent.isEmpty() && recent.peekFirst().isBefore(windowStart)) {
       recent.removeFirst();
     }
     return recent;
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/stream/EventSplitter.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/stream/EventSplitter.java
@@ -71,7 +71,7 @@
             .findFirst();
     try {
       return id.isPresent() ? OptionalLong.of(Long.parseLong(id.get())) : OptionalLong.empty();
-    } catch (NumberFormatException notNumbered) {
+    } catch (NumberFormatException notNumeric) {
       return OptionalLong.empty();
     }
   }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/KeepAlivePolicyTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/KeepAlivePolicyTest.java
@@ -55,13 +55,13 @@
   @ParameterizedTest
   @MethodSource("rows")
   void matchesEndpointTimeout(Row row) {
-    KeepAlivePolicy timeouts = new KeepAlivePolicy();
+    KeepAlivePolicy policy = new KeepAlivePolicy();
     row.resets()
-        .forEach(r -> timeouts.recordReset(r.address(), Duration.ofMillis(r.idleMillis()), START));
+        .forEach(r -> policy.recordReset(r.address(), Duration.ofMillis(r.idleMillis()), START));
     Optional<Duration> advertised =
         Optional.of(Duration.ofSeconds(row.advertisedSeconds())).filter(d -> !d.isZero());
     assertThat(
-        timeouts.idleTimeout("a", advertised, START.plusMillis(row.laterMillis())).toMillis(),
+        policy.idleTimeout("a", advertised, START.plusMillis(row.laterMillis())).toMillis(),
         equalTo(row.timeoutMillis()));
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/LoadReplay.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/LoadReplay.java
@@ -89,13 +89,13 @@
       RequestKind kind,
       PlacementRequest request,
       Optional<Engine> source,
-      EndpointTracker.InFlightRequest ticket,
+      EndpointTracker.InFlightRequest inFlightRequest,
       Instant arrivedAt,
       boolean large) {}
 
   /** An attempt to place a request: the first one, or the retry after a refusal. */
   private record Attempt(
-      RequestKind kind, PlacementRequest request, Instant firstAt, boolean large) {}
+      RequestKind kind, PlacementRequest request, Instant firstAttemptAt, boolean large) {}
 
   private static final class Engine {
     private final List<EndpointTracker> trackers;
@@ -247,9 +247,9 @@
             original.expectedOutputTokens(),
             original.parts(),
             original.firstByteObjective(),
-            refused.kind().deadline().minus(Duration.between(refused.firstAt(), now)),
+            refused.kind().deadline().minus(Duration.between(refused.firstAttemptAt(), now)),
             Set.of());
-    if (place(new Attempt(refused.kind(), retry, refused.firstAt(), refused.large()), now)
+    if (place(new Attempt(refused.kind(), retry, refused.firstAttemptAt(), refused.large()), now)
         .isPresent()) {
       results.get(refused.kind().name()).refused++;
     }
@@ -275,12 +275,12 @@
     if (placement instanceof Placement.Refused refused) {
       return Optional.of(refused.retryAfter());
     }
-    Placement.ToEndpoint local = (Placement.ToEndpoint) placement;
-    EndpointTracker chosen = local.endpoint();
+    Placement.ToEndpoint toEndpoint = (Placement.ToEndpoint) placement;
+    EndpointTracker chosen = toEndpoint.endpoint();
     Engine engine = engineOf(chosen);
-    long fetched = local.fetch().map(Placement.PrefixFetch::tokens).orElse(0L);
+    long fetched = toEndpoint.fetch().map(Placement.PrefixFetch::tokens).orElse(0L);
     long uncached = chosen.uncachedTokens(attempt.request()) - fetched;
-    EndpointTracker.InFlightRequest ticket =
+    EndpointTracker.InFlightRequest inFlightRequest =
         chosen.startRequest(attempt.request(), fetched, KV_TOKENS, now);
     if (uncached >= LONG_PROMPT_TOKENS) {
       reportToPeers(engine, entry, now);
@@ -289,9 +289,9 @@
         new QueuedRequest(
             attempt.kind(),
             attempt.request(),
-            local.fetch().map(f -> engineOf(f.source())),
-            ticket,
-            attempt.firstAt(),
+            toEndpoint.fetch().map(f -> engineOf(f.source())),
+            inFlightRequest,
+            attempt.firstAttemptAt(),
             attempt.large()));
     return Optional.empty();
   }
@@ -301,7 +301,7 @@
         s -> {
           boolean finished = !s.getKey().isAfter(now);
           if (finished) {
-            s.getValue().ticket().finish(Outcome.ANSWERED, now);
+            s.getValue().inFlightRequest().finish(Outcome.ANSWERED, now);
           }
           return finished;
         });
@@ -336,12 +336,12 @@
     return allEngines().filter(e -> e.trackers.contains(tracker)).findFirst().orElseThrow();
   }
 
-  private static boolean caches(Engine engine, QueuedRequest waiting) {
-    return engine.cache.cachedTokensOf(waiting.request().parts()) > 0;
+  private static boolean caches(Engine engine, QueuedRequest queued) {
+    return engine.cache.cachedTokensOf(queued.request().parts()) > 0;
   }
 
   private void recordFirstByte(Engine engine, QueuedRequest prefilled, Instant now) {
-    prefilled.ticket().bytesReceived(now);
+    prefilled.inFlightRequest().bytesReceived(now);
     engine.trackers.forEach(t -> t.recordPrefix(prefilled.request().sharedParts(), KV_TOKENS));
     engine.streaming.add(Map.entry(now.plus(STREAM_DURATION), prefilled));
     Results kindResults = results.get(prefilled.kind().name());
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacementMechanismTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacementMechanismTest.java
@@ -15,7 +15,7 @@
 
 /** Parsing of the setting that lists disabled mechanisms. */
 class PlacementMechanismTest {
-  static Stream<Arguments> validTexts() {
+  static Stream<Arguments> accepted() {
     return Stream.of(
         Arguments.of("", EnumSet.noneOf(PlacementMechanism.class)),
         Arguments.of("TOKEN_PACE", EnumSet.of(PlacementMechanism.TOKEN_PACE)),
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerTest.java
@@ -172,7 +172,7 @@
     }
   }
 
-  static Stream<AdvertisedRow> advertisedRows() {
+  static Stream<AdvertisedRow> statedRows() {
     Duration noPause = Duration.ZERO;
     Duration pause = Duration.ofSeconds(3);
     OptionalDouble unlimited = OptionalDouble.empty();
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PrefixFetchTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PrefixFetchTest.java
@@ -151,7 +151,7 @@
     }
   }
 
-  static Stream<HolderRow> holderRows() {
+  static Stream<HolderRow> holders() {
     return Stream.of(
         new HolderRow("answers", (e, now) -> startRequest(e, now).bytesReceived(now), true),
         new HolderRow(
@@ -224,7 +224,7 @@
       requests.add(crashed.startRequest(prompt, 0, KV_TOKENS, NOW));
       crashed.recordPrefix(prompt.sharedParts(), KV_TOKENS);
     }
-    requests.forEach(ticket -> ticket.finish(EndpointTracker.Outcome.FAILED, NOW));
+    requests.forEach(request -> request.finish(EndpointTracker.Outcome.FAILED, NOW));
     List<EndpointTracker> survivors = List.of(tracker("left-1", "a"), tracker("left-2", "a"));
     List<EndpointTracker> holders =
         Stream.concat(survivors.stream(), Stream.of(crashed))
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/RegionLoadsTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/RegionLoadsTest.java
@@ -26,9 +26,9 @@
    *
    * @param farWait the wait that the region "far" reported at the start, in ms
    * @param nearWait the wait that the region "near" reported at the start, in ms
-   * @param sentToNear the number of requests of 6,000 tokens relayed to "near" since
+   * @param relayedToNear the number of requests of 6,000 tokens relayed to "near" since
    * @param senders the number of entries of this region
-   * @param failed a region that could not be reached at the start
+   * @param unreachable a region that could not be reached at the start
    * @param laterMillis the time of the placement, in ms after the start
    * @param expected the expected region and wait
    */
@@ -36,9 +36,9 @@
       String name,
       long farWait,
       long nearWait,
-      int sentToNear,
+      int relayedToNear,
       int senders,
-      String failed,
+      String unreachable,
       long laterMillis,
       String expected) {
     @Override
@@ -74,11 +74,11 @@
     PlacementRequest request =
         new PlacementRequest(
             "s", 0, 6_000, 0, List.of(), Duration.ofSeconds(1), Duration.ofSeconds(9), Set.of());
-    for (int i = 0; i < row.sentToNear(); i++) {
+    for (int i = 0; i < row.relayedToNear(); i++) {
       loads.recordRelayed("near", request, row.senders());
     }
-    if (!row.failed().equals(NONE)) {
-      loads.recordUnreachable(row.failed(), START);
+    if (!row.unreachable().equals(NONE)) {
+      loads.recordUnreachable(row.unreachable(), START);
     }
     String offered =
         loads
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/StreamReplay.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/StreamReplay.java
@@ -45,7 +45,7 @@
   private int countedOnTime;
 
   private static final class Stream {
-    private final EndpointTracker.InFlightRequest ticket;
+    private final EndpointTracker.InFlightRequest inFlightRequest;
     private final Instant deadline;
     private final int outputTokens;
     private final boolean counted;
@@ -53,11 +53,11 @@
     private int producedTokens;
 
     private Stream(
-        EndpointTracker.InFlightRequest ticket,
+        EndpointTracker.InFlightRequest inFlightRequest,
         Instant deadline,
         int outputTokens,
         boolean counted) {
-      this.ticket = ticket;
+      this.inFlightRequest = inFlightRequest;
       this.deadline = deadline;
       this.outputTokens = outputTokens;
       this.counted = counted;
@@ -147,12 +147,16 @@
             List.of(),
             Optional.empty(),
             disabledMechanisms);
-    if (placer.place(request, context, now) instanceof Placement.ToEndpoint local) {
+    if (placer.place(request, context, now) instanceof Placement.ToEndpoint toEndpoint) {
       Engine engine =
-          engines.stream().filter(e -> e.tracker == local.endpoint()).findFirst().orElseThrow();
-      EndpointTracker.InFlightRequest ticket =
+          engines.stream()
+              .filter(e -> e.tracker == toEndpoint.endpoint())
+              .findFirst()
+              .orElseThrow();
+      EndpointTracker.InFlightRequest inFlightRequest =
           engine.tracker.startRequest(request, 0, 345_000, now);
-      engine.pendingPrompts.add(new Stream(ticket, now.plus(DEADLINE), outputTokens, counted));
+      engine.pendingPrompts.add(
+          new Stream(inFlightRequest, now.plus(DEADLINE), outputTokens, counted));
     }
   }
 
@@ -195,12 +199,12 @@
     boolean finished = stream.producedTokens >= stream.outputTokens;
     boolean late = now.isAfter(stream.deadline);
     if (stream.producedTokens % EVENT_TOKENS == 0 || finished) {
-      stream.ticket.bytesReceived(now);
-      stream.ticket.eventsReceived(EVENT_TOKENS, now);
+      stream.inFlightRequest.bytesReceived(now);
+      stream.inFlightRequest.eventsReceived(EVENT_TOKENS, now);
     }
     if (finished || late) {
       countedOnTime += late || !stream.counted ? 0 : 1;
-      stream.ticket.finish(
+      stream.inFlightRequest.finish(
           late ? EndpointTracker.Outcome.CANCELLED : EndpointTracker.Outcome.ANSWERED, now);
     }
     return finished || late;
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/TrackedEndpointsTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/TrackedEndpointsTest.java
@@ -55,7 +55,7 @@
     endpoints.update(new FleetMessage.RosterUpdate("control", 0, complete, List.of(records)), now);
   }
 
-  static Stream<Arguments> nextRecords() {
+  static Stream<Arguments> ends() {
     return Stream.of(
         Arguments.of(record("e", 1, EndpointState.LOST, 1), List.of("e@1")),
         Arguments.of(record("e", 2, EndpointState.READY, 1), List.of("e@1")),
@@ -166,7 +166,7 @@
     sendRoster(false, now, record);
   }
 
-  static Stream<EndpointState> finalStates() {
+  static Stream<EndpointState> departures() {
     return Stream.of(EndpointState.LOST, EndpointState.GONE);
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/UnresponsiveEndpointTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/UnresponsiveEndpointTest.java
@@ -41,29 +41,29 @@
 
   static Stream<Row> rows() {
     return Stream.of(
-        new Row("just sent", (e, t) -> {}, 700, false, false),
-        new Row("response overdue", (e, t) -> {}, 900, true, false),
+        new Row("just sent", (endpoint, request) -> {}, 700, false, false),
+        new Row("response overdue", (endpoint, request) -> {}, 900, true, false),
         new Row(
             "request failed while unresponsive",
-            (e, t) -> t.finish(Outcome.FAILED, at(1_000)),
+            (endpoint, request) -> request.finish(Outcome.FAILED, at(1_000)),
             1_100,
             true,
             true),
         new Row(
             "caller disconnected while unresponsive",
-            (e, t) -> t.finish(Outcome.CANCELLED, at(1_000)),
+            (endpoint, request) -> request.finish(Outcome.CANCELLED, at(1_000)),
             1_100,
             true,
             true),
         new Row(
             "caller disconnected before the timeout",
-            (e, t) -> t.finish(Outcome.CANCELLED, at(300)),
+            (endpoint, request) -> request.finish(Outcome.CANCELLED, at(300)),
             1_100,
             false,
             false),
         new Row(
             "after the backoff requests need a new connection",
-            (e, t) -> t.finish(Outcome.FAILED, at(1_000)),
+            (endpoint, request) -> request.finish(Outcome.FAILED, at(1_000)),
             1_300,
             false,
             true),
@@ -83,19 +83,19 @@
         new EndpointTracker(
             new EndpointRecord("e", 0, "s", "10.0.0.1:1", "a", 8, EndpointState.READY, 1, 0),
             START);
-    InFlightRequest ticket = startRequest(endpoint, START);
-    row.events().accept(endpoint, ticket);
+    InFlightRequest request = startRequest(endpoint, START);
+    row.events().accept(endpoint, request);
     assertThat(endpoint.isSuspect(at(row.atMillis())), equalTo(row.suspect()));
     assertThat(endpoint.isUnconfirmed(), equalTo(row.unconfirmed()));
   }
 
-  private static void unresponsiveTwice(EndpointTracker endpoint, InFlightRequest ticket) {
-    ticket.finish(Outcome.FAILED, at(1_000));
+  private static void unresponsiveTwice(EndpointTracker endpoint, InFlightRequest request) {
+    request.finish(Outcome.FAILED, at(1_000));
     startRequest(endpoint, at(2_000)).finish(Outcome.FAILED, at(3_000));
   }
 
-  private static void unresponsiveThenResponds(EndpointTracker endpoint, InFlightRequest ticket) {
-    ticket.finish(Outcome.FAILED, at(1_000));
+  private static void unresponsiveThenResponds(EndpointTracker endpoint, InFlightRequest request) {
+    request.finish(Outcome.FAILED, at(1_000));
     startRequest(endpoint, at(1_200)).bytesReceived(at(1_300));
   }
 
