--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/AdvertisedConditions.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/AdvertisedConditions.java
@@ -5,8 +5,8 @@
 import org.lacewingcroft.limit.EndpointRateLimit;
 
 /**
- * The conditions under which an endpoint accepts requests, as advertised by its responses to this
- * entry. They come from the endpoint itself and apply to its whole incarnation, whatever the
+ * Holds the conditions under which an endpoint accepts requests, as advertised by its responses to
+ * this entry. They come from the endpoint itself and apply to its whole incarnation, whatever the
  * control instances report about it.
  *
  * <p>Not thread-safe: confined to the entry's event loop thread.
@@ -24,7 +24,7 @@
   /**
    * Records that the endpoint is draining.
    *
-   * @return whether this entry did not know this before
+   * @return whether this was not recorded before
    */
   public boolean markDraining() {
     boolean changed = !draining;
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/EndpointTracker.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/EndpointTracker.java
@@ -15,7 +15,7 @@
 import org.lacewingcroft.misc.Rendezvous;
 
 /**
- * The state that one entry keeps about one endpoint in addition to its record: this entry's
+ * Holds the state that one entry keeps about one endpoint in addition to its record: this entry's
  * requests in flight, the load that the region's other entries report, prefill speed, time per
  * output token, failures, and cached prompt prefixes. {@link Placer} bases its decisions on it.
  *
@@ -78,8 +78,13 @@
   private final PrefillQueue prefillQueue = new PrefillQueue();
   private final Map<String, PeerLoad> peerLoads = new HashMap<>();
   private final List<InFlightRequest> openRequests = new ArrayList<>();
+
+  /** Prefixes of all prompts sent to the endpoint, including those still being prefilled. */
   private final PrefixCacheModel expectedPrefixes = new PrefixCacheModel();
+
+  /** Prefixes that the endpoint has prefilled, as shown by responses. */
   private final PrefixCacheModel confirmedPrefixes = new PrefixCacheModel();
+
   private final OutputTokenTime outputTokenTime = new OutputTokenTime();
   private final AdvertisedConditions conditions;
 
@@ -436,12 +441,12 @@
   }
 
   /**
-   * Returns whether other endpoints may be told to fetch KV cache from this one. After a crash,
-   * lost connections show the failure long before the record does. A prefix that cannot be fetched
-   * is prefilled in full, which the wait estimates do not include: when one of four engines
-   * crashes, three prompts of 13,000 to 29,000 tokens sent to a single other engine can take 68,000
-   * tokens of prefill instead of an estimated 17,000, which delays the first bytes of the requests
-   * behind them from 0.6 s to 2.5 s.
+   * Returns whether other endpoints may fetch KV cache from this one. After a crash, lost
+   * connections show the failure long before the record does. A prefix that cannot be fetched is
+   * prefilled in full, which the wait estimates do not include: when one of four engines crashes,
+   * three prompts of 13,000 to 29,000 tokens sent to a single other engine can take 68,000 tokens
+   * of prefill instead of an estimated 17,000, which delays the first bytes of the requests behind
+   * them from 0.6 s to 2.5 s.
    */
   public boolean isPrefixSource(Instant now) {
     return acceptsRequests(now) && !isSuspect(now) && failureScore(now) < MAX_SOURCE_FAILURE_SCORE;
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placement.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placement.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** The decision where a request goes. */
+/** The decision on where a request goes. */
 public sealed interface Placement {
   /** Returns the value of the metric label for this decision. */
   default String where() {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PlacementMechanism.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PlacementMechanism.java
@@ -11,11 +11,9 @@
 public enum PlacementMechanism {
   /** Endpoints fetch KV cache of shared prefixes from each other. */
   PREFIX_FETCH,
-  /**
-   * Placement considers the time of the whole response, from the measured time per output token.
-   */
+  /** Estimates cover the whole response, using the measured time per output token. */
   TOKEN_PACE,
-  /** A starting entry asks its region's endpoints which prefixes they cache. */
+  /** A starting entry requests the lists of cached prefixes from its region's endpoints. */
   PREFIX_LISTING,
   /** Endpoints that were unresponsive are avoided until they send a byte again. */
   SILENCE_MEMORY;
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PrefillQueue.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PrefillQueue.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * The prompts sent to an engine that it has not prefilled yet, including those that other entries
- * report.
+ * Tracks the prompts sent to an engine that it has not prefilled yet, including those that other
+ * entries report.
  *
  * <p>An engine prefills one prompt at a time to its end, and then continues with the most urgent of
  * those that wait. So an urgent request waits for all prompts of at least the same urgency and for
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/RegionLoads.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/RegionLoads.java
@@ -9,8 +9,8 @@
 import org.lacewingcroft.fleet.FleetMessage.ServiceLoad;
 
 /**
- * The load of the services of other regions, as their entries report it, corrected by what this
- * entry has sent there since.
+ * Tracks the load of the services of other regions, as their entries report it, corrected by what
+ * this entry has sent there since.
  *
  * <p>Not thread-safe: confined to the entry's event loop thread.
  */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/TrackedEndpoints.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/TrackedEndpoints.java
@@ -17,7 +17,7 @@
 import org.lacewingcroft.misc.BoundedMap;
 
 /**
- * The endpoints known to an entry: their records, as the control instances report them, and a
+ * Holds the endpoints known to an entry: their records, as the control instances report them, and a
  * tracker for the newest incarnation of each.
  *
  * <p>Not thread-safe: confined to the entry's event loop thread.
@@ -109,9 +109,8 @@
   }
 
   /**
-   * Applies a record. A later incarnation gets a new tracker, because none of its predecessor's
-   * cached prompts and requests in flight apply to it. The predecessor's requests end on the old
-   * tracker.
+   * Applies a record. A later incarnation gets a new tracker, because its predecessor's cached
+   * prompts and requests in flight do not apply to it; those requests end on the old tracker.
    */
   private void apply(EndpointRecord record, String reporter, Instant now) {
     final Optional<EndpointRecord> changed = roster.merge(record, now);
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/LoadReplay.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/LoadReplay.java
@@ -41,7 +41,18 @@
 
   private static final Duration STREAM_DURATION = Duration.ofMillis(600);
 
-  /** A kind of request of the trace. */
+  /**
+   * A kind of request of the trace.
+   *
+   * @param name the name of the kind
+   * @param perSecond the mean arrival rate, in requests a second
+   * @param priority the priority, 0 the most urgent
+   * @param sharedTokens the length of the prompt's shared prefix
+   * @param sharedPrefixes the number of different shared prefixes
+   * @param ownTokens the mean length of the rest of the prompt
+   * @param objective the objective for the time to the first byte
+   * @param deadline the time after which the caller times out
+   */
   record RequestKind(
       String name,
       double perSecond,
