--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/AdmissionLimiter.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/AdmissionLimiter.java
@@ -7,38 +7,38 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Admits each organisation's requests at the rate its policy allows in this entry, with a burst of
- * one second's worth. Organisations without a limit cost nothing; a bucket is made at the first
- * request under a limit and replaced when the limit changes.
+ * Limits each organisation's requests at this entry to the rate that its policy allows, with a
+ * burst of one second's worth of requests. A token bucket is created at the first request under a
+ * limit and replaced when the limit changes; an organisation without a limit has no bucket.
  */
 public final class AdmissionLimiter {
-  private record Limited(int requestsPerSecond, TokenBucket bucket) {}
+  private record OrganisationLimit(int requestsPerSecond, TokenBucket bucket) {}
 
-  private final Map<String, Limited> byOrganisation = new ConcurrentHashMap<>();
+  private final Map<String, OrganisationLimit> limitsByOrganisation = new ConcurrentHashMap<>();
 
   /**
-   * Admits a request or says when to come back.
+   * Admits a request or returns the delay after which to retry.
    *
-   * @param organisation the organisation
-   * @param requestsPerSecond its limit; 0 for none
+   * @param organisation the organisation's name
+   * @param requestsPerSecond the organisation's limit; 0 for none
    * @param now the current time
-   * @return empty if admitted, else how long until the next request is admitted
+   * @return empty if admitted, else the delay until the next request can be admitted
    */
   public Optional<Duration> admit(String organisation, int requestsPerSecond, Instant now) {
     if (requestsPerSecond <= 0) {
       return Optional.empty();
     }
-    Limited limited =
-        byOrganisation.compute(
+    OrganisationLimit limit =
+        limitsByOrganisation.compute(
             organisation,
-            (name, seen) ->
-                seen != null && seen.requestsPerSecond() == requestsPerSecond
-                    ? seen
-                    : new Limited(
+            (name, existing) ->
+                existing != null && existing.requestsPerSecond() == requestsPerSecond
+                    ? existing
+                    : new OrganisationLimit(
                         requestsPerSecond,
                         new TokenBucket(requestsPerSecond, requestsPerSecond, now)));
-    return limited.bucket().tryTake(now)
+    return limit.bucket().tryTake(now)
         ? Optional.empty()
-        : Optional.of(limited.bucket().untilNext(now));
+        : Optional.of(limit.bucket().untilNextToken(now));
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/EndpointRateLimit.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/EndpointRateLimit.java
@@ -6,136 +6,156 @@
 import java.util.OptionalDouble;
 
 /**
- * The rate of requests that an endpoint takes from all entries together, as its answers state it,
- * and this entry's part of it.
+ * The request rate that an endpoint accepts from all entries together, as advertised in its
+ * responses, and this entry's share of it.
  *
- * <p>The load that this answers is an endpoint in need that looks idle: it takes a request a second
- * or less, and many entries see room there at the same moment. News between entries are older than
- * that moment, so each keeps a fixed share. A share of 1 in 32 of a low rate would be one request
- * in half a minute, and 32 entries that each may send one at any time are a burst; so only a few of
- * the entries send, the more the higher the rate, and the others learn from them what the endpoint
- * states.
+ * <p>Designed for an overloaded endpoint that looks idle because it accepts one request per second
+ * or less: many entries see free capacity there at the same moment. Load reports between entries
+ * arrive too late to prevent that, so each sending entry has a fixed share of the rate. A share of
+ * 1/32 of a low rate would be one request per half minute, and 32 entries that may each send one at
+ * any time produce a burst. Therefore only a few of the entries send, more of them at a higher
+ * rate, and the others receive the advertised limit from them.
  *
- * <p>Not thread-safe: owned by the entry's event loop.
+ * <p>Not thread-safe: confined to the entry's event loop thread.
  */
 public final class EndpointRateLimit {
-  /** Entries that send to an endpoint that takes hardly anything; one more for each a second. */
-  private static final int LEAST_SENDERS = 2;
+  /** Entries that send at a rate near zero; one more sends for each request per second. */
+  private static final int MIN_SENDERS = 2;
 
-  private static final int MOST_SENDERS = 1_000;
+  private static final int MAX_SENDERS = 1_000;
 
-  /** The rate kept at least: only answers tell that the endpoint takes more again. */
-  private static final double LEAST_PER_SECOND = 0.2;
+  /**
+   * Lower bound of the rate that is shared, so that requests continue to be sent: only their
+   * responses advertise a raised limit.
+   */
+  private static final double MIN_REQUESTS_PER_SECOND = 0.2;
 
-  /** Time for which an unused share is kept, at a rate at which that is more than a request. */
+  /** Time for which an unused share accumulates if that amounts to more than one request. */
   private static final double BURST_SECONDS = 0.5;
 
-  /** For how long the others are told that a limit has ended. */
-  private static final Duration END_TOLD = Duration.ofSeconds(10);
+  /** How long the removal of a limit is reported to the other entries. */
+  private static final Duration LIMIT_REMOVAL_REPORT_TTL = Duration.ofSeconds(10);
 
-  /** A limit that no answer has confirmed for this long is tried by a request of any entry. */
-  private static final Duration CONFIRMED = Duration.ofSeconds(15);
+  /**
+   * How long a limit is valid after a response advertised it. After that, any entry may send a
+   * trial request.
+   */
+  private static final Duration LIMIT_TTL = Duration.ofSeconds(15);
+
+  /** Retry delay returned by an entry that is not a sender. */
+  private static final Duration NON_SENDER_RETRY_DELAY = Duration.ofSeconds(1);
 
-  private static final Duration PAUSE_OF_OTHERS = Duration.ofSeconds(1);
   private static final double NANOS_PER_SECOND = 1e9;
 
   private OptionalDouble perSecond = OptionalDouble.empty();
-  private Instant statedAt = Instant.EPOCH;
+  private Instant advertisedAt = Instant.EPOCH;
   private Instant confirmedAt = Instant.EPOCH;
-  private Optional<Instant> readAt = Optional.empty();
-  private Instant sentAt = Instant.EPOCH;
-  private double requests;
-  private Instant filledAt = Instant.EPOCH;
+  private Optional<Instant> receivedInResponseAt = Optional.empty();
+  private Instant lastSentAt = Instant.EPOCH;
+  private double availableRequests;
+  private Instant lastRefillAt = Instant.EPOCH;
 
-  /** What an endpoint has stated to one entry, as that entry tells the others. */
+  /**
+   * The limit in the responses that one entry received, as sent to the other entries.
+   *
+   * @param perSecond the limit in requests per second, empty if none was advertised
+   * @param age the time since the entry received it
+   */
   public record Report(OptionalDouble perSecond, Duration age) {}
 
-  /** Returns the requests a second that the endpoint takes; empty if it states no limit. */
+  /** Returns the limit in requests per second; empty if the endpoint advertises none. */
   public OptionalDouble perSecond() {
     return perSecond;
   }
 
   /**
-   * Takes what an answer states. One without a limit ends the limit only if its request was sent
-   * after the limit was last stated: answers on different connections overtake each other.
+   * Applies the limit advertised in a response. A response without a limit removes the limit only
+   * if its request was sent after the limit was last advertised, because responses on different
+   * connections can overtake each other.
    *
-   * @param stated the limit in requests a second, empty if the answer states none
-   * @param requestSentAt when the answer's request was sent
+   * @param advertised the limit in requests per second, empty if the response advertises none
+   * @param requestSentAt when the request of this response was sent
    * @return whether this changes the limit
    */
-  public boolean updateFromResponse(OptionalDouble stated, Instant requestSentAt, Instant now) {
-    if (stated.isEmpty() && (perSecond.isEmpty() || !requestSentAt.isAfter(statedAt))) {
+  public boolean updateFromResponse(OptionalDouble advertised, Instant requestSentAt, Instant now) {
+    if (advertised.isEmpty() && (perSecond.isEmpty() || !requestSentAt.isAfter(advertisedAt))) {
       return false;
     }
-    readAt = Optional.of(now);
-    return take(stated, now, now);
+    receivedInResponseAt = Optional.of(now);
+    return setLimit(advertised, now, now);
   }
 
   /**
-   * Takes what another entry tells of its answers.
+   * Applies another entry's report unless the recorded limit is newer.
    *
    * @return whether this changes the limit
    */
-  public boolean updateFromPeer(Report statement, Instant now) {
-    Instant at = now.minus(statement.age());
-    if (!at.isAfter(statedAt)) {
+  public boolean updateFromPeer(Report report, Instant now) {
+    Instant reportedAt = now.minus(report.age());
+    if (!reportedAt.isAfter(advertisedAt)) {
       return false;
     }
-    boolean changes = !statement.perSecond().equals(perSecond);
-    if (changes) {
-      readAt = Optional.empty();
+    boolean changed = !report.perSecond().equals(perSecond);
+    if (changed) {
+      receivedInResponseAt = Optional.empty();
     }
-    return take(statement.perSecond(), at, now);
+    return setLimit(report.perSecond(), reportedAt, now);
   }
 
-  private boolean take(OptionalDouble newer, Instant at, Instant now) {
-    final boolean changed = !newer.equals(perSecond);
+  private boolean setLimit(OptionalDouble newLimit, Instant at, Instant now) {
+    final boolean changed = !newLimit.equals(perSecond);
     if (perSecond.isEmpty()) {
-      requests = 0;
-      filledAt = now;
+      availableRequests = 0;
+      lastRefillAt = now;
     }
-    perSecond = newer;
-    statedAt = at;
+    perSecond = newLimit;
+    advertisedAt = at;
     confirmedAt = at;
     return changed;
   }
 
-  /** Returns what the other entries are to be told of this entry's answers. */
+  /**
+   * Returns the limit to report to the other entries; empty if this entry has not received it in a
+   * response itself, or not recently.
+   */
   public Optional<Report> report(Instant now) {
-    Duration worth = perSecond.isPresent() ? CONFIRMED : END_TOLD;
-    return readAt
-        .filter(at -> at.plus(worth).isAfter(now))
+    Duration ttl = perSecond.isPresent() ? LIMIT_TTL : LIMIT_REMOVAL_REPORT_TTL;
+    return receivedInResponseAt
+        .filter(at -> at.plus(ttl).isAfter(now))
         .map(at -> new Report(perSecond, Duration.between(at, now)));
   }
 
-  /** Returns how many entries send to the endpoint while it states a limit. */
+  /** Returns how many entries at most send to the endpoint under the advertised limit. */
   public int maxSenders() {
-    double rate = perSecond.orElse(MOST_SENDERS);
-    return (int) Math.min(MOST_SENDERS, LEAST_SENDERS + rate);
+    double rate = perSecond.orElse(MAX_SENDERS);
+    return (int) Math.min(MAX_SENDERS, MIN_SENDERS + rate);
   }
 
   /**
-   * Returns whether the endpoint takes one more request of this entry now.
+   * Returns whether the limit allows this entry to send one more request now.
    *
-   * @param senders how many entries share the rate; 0 if this entry is none of them
+   * @param senders the number of entries that share the rate; 0 if this entry is not one of them
    */
   public boolean admits(int senders, Instant now) {
     if (perSecond.isEmpty() || isTrialDue(now)) {
       return true;
     }
-    fill(senders, now);
-    return requests >= 1;
+    refill(senders, now);
+    return availableRequests >= 1;
   }
 
-  /** Returns whether nobody has found out for long whether the limit still stands. */
+  /**
+   * Returns whether a trial request is due: no response has confirmed the limit for its validity
+   * time, and this entry has not sent a request for that time either.
+   */
   private boolean isTrialDue(Instant now) {
-    Instant since = confirmedAt.isAfter(sentAt) ? confirmedAt : sentAt;
-    return !since.plus(CONFIRMED).isAfter(now);
+    Instant lastActivity = confirmedAt.isAfter(lastSentAt) ? confirmedAt : lastSentAt;
+    return !lastActivity.plus(LIMIT_TTL).isAfter(now);
   }
 
   /**
-   * Returns how long it takes until the endpoint takes one more request of this entry, or of the
-   * entries that share its rate.
+   * Returns the delay until the limit allows one more request of this entry, or of the entries that
+   * share the rate if this entry is not one of them.
    *
    * @param senders as for {@link #admits}
    */
@@ -144,31 +164,35 @@
       return Duration.ZERO;
     }
     if (senders == 0) {
-      return PAUSE_OF_OTHERS;
+      return NON_SENDER_RETRY_DELAY;
     }
-    double seconds = (1 - requests) / share(senders);
+    double seconds = (1 - availableRequests) / share(senders);
     return Duration.ofNanos((long) Math.ceil(seconds * NANOS_PER_SECOND));
   }
 
   private double share(int senders) {
-    return Math.max(LEAST_PER_SECOND, perSecond.orElseThrow()) / senders;
+    return Math.max(MIN_REQUESTS_PER_SECOND, perSecond.orElseThrow()) / senders;
   }
 
-  /** An entry that begins to send begins with nothing: another may just have sent in its place. */
-  private void fill(int senders, Instant now) {
-    double seconds = Math.max(0, Duration.between(filledAt, now).toNanos() / NANOS_PER_SECOND);
-    filledAt = now;
+  /**
+   * Accumulates this entry's share of the rate. An entry that becomes a sender starts at zero,
+   * because the entry that it replaces may have just sent a request.
+   */
+  private void refill(int senders, Instant now) {
+    double seconds = Math.max(0, Duration.between(lastRefillAt, now).toNanos() / NANOS_PER_SECOND);
+    lastRefillAt = now;
     if (senders == 0) {
-      requests = 0;
+      availableRequests = 0;
       return;
     }
     double share = share(senders);
-    requests = Math.min(Math.max(1, share * BURST_SECONDS), requests + seconds * share);
+    availableRequests =
+        Math.min(Math.max(1, share * BURST_SECONDS), availableRequests + seconds * share);
   }
 
-  /** Notes that this entry sends a request to the endpoint. */
+  /** Records that this entry sends a request to the endpoint. */
   public void recordSend(Instant now) {
-    sentAt = now;
-    requests = Math.max(0, requests - 1);
+    lastSentAt = now;
+    availableRequests = Math.max(0, availableRequests - 1);
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/FleetQuotas.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/FleetQuotas.java
@@ -10,67 +10,78 @@
 import org.lacewingcroft.route.Quota;
 
 /**
- * The quotas of organisations as one entry of many sees them: a token bucket for each, from which
- * it takes what its own callers ask for and what the other entries tell that theirs have asked for.
+ * The quotas of organisations as enforced by one of many entries: a token bucket per organisation,
+ * charged with the usage of this entry's own callers and the usage that the other entries report.
  *
- * <p>The load that this answers is an organisation whose callers ask at any entry, now here, now
- * there, a few times a second in all. A fixed share for each entry refuses them while the
- * organisation is far below its quota. Here a request is refused only if all entries together have
- * used it up; what they use before the others hear of it goes over the quota for a moment and is
- * missing afterwards.
+ * <p>Designed for an organisation whose callers send a few requests per second in total, each to
+ * any entry. A fixed share of the quota per entry would reject requests although the organisation
+ * is far below its quota. Here a request is rejected only if all entries together have used up the
+ * quota. Usage that the other entries have not yet received can exceed the quota for a moment; it
+ * is charged to their buckets on receipt, which reduces what is admitted afterwards.
  *
- * <p>Not thread-safe: owned by the entry's event loop.
+ * <p>Not thread-safe: confined to the entry's event loop thread.
  */
 public final class FleetQuotas {
-  /** Without news of the others for this long, they are taken to go on as they did. */
-  private static final Duration NEWS_VALID = Duration.ofSeconds(1);
+  /**
+   * Without an update for this long, the other entries are assumed to continue at their last
+   * average rate.
+   */
+  private static final Duration PEER_UPDATE_TIMEOUT = Duration.ofSeconds(1);
 
-  /** Time over which the others' rate is averaged. */
-  private static final double RATE_SECONDS = 2;
+  /** Time constant over which the other entries' usage rate is averaged. */
+  private static final double RATE_AVERAGING_SECONDS = 2;
 
   private final Map<String, Account> accounts = new HashMap<>();
-  private Instant heardAt;
+  private Instant lastPeerUpdateAt;
 
   /**
-   * Creates it without any quota.
+   * Creates an instance without quotas.
    *
    * @param now the current time
    */
   public FleetQuotas(Instant now) {
-    this.heardAt = now;
+    this.lastPeerUpdateAt = now;
   }
 
-  /** What is known of one organisation's use, in the units of its quota. */
+  /** The bucket and the recorded usage of one organisation, in the units of its quota. */
   private static final class Account {
     private Quota quota;
-    private double level;
-    private Instant filledAt;
-    private long untold;
-    private long unheard;
-    private double othersPerSecond;
-    private double heardSinceUpdate;
-
-    /** Begins empty: the others may just have used up the quota. */
+
+    /** The units available; negative while usage exceeds the quota. */
+    private double balance;
+
+    private Instant lastRefillAt;
+    private long unreportedUsage;
+
+    /** Reported usage that no applied fleet usage has included yet. */
+    private long pendingReportedUsage;
+
+    private double peerUsagePerSecond;
+    private double peerUsageSinceRateUpdate;
+
+    /** Creates an empty bucket, because the other entries may have just used up the quota. */
     private Account(Quota quota, Instant now) {
       this.quota = quota;
-      filledAt = now;
+      lastRefillAt = now;
     }
 
     /**
-     * Fills the bucket.
+     * Refills the bucket.
      *
-     * @param drainPerSecond what others are taken to use meanwhile
+     * @param assumedPeerUsagePerSecond the assumed usage of the other entries since the last refill
      */
-    private void fill(double drainPerSecond, Instant now) {
-      double seconds = Math.max(0, Duration.between(filledAt, now).toNanos() / 1e9);
-      filledAt = now;
-      level = Math.min(quota.burst(), level + seconds * (quota.perSecond() - drainPerSecond));
+    private void refill(double assumedPeerUsagePerSecond, Instant now) {
+      double seconds = Math.max(0, Duration.between(lastRefillAt, now).toNanos() / 1e9);
+      lastRefillAt = now;
+      balance =
+          Math.min(
+              quota.burst(), balance + seconds * (quota.perSecond() - assumedPeerUsagePerSecond));
     }
   }
 
   /**
-   * Takes the quotas in force. Use is followed from now on, whether or not this entry's own callers
-   * ask for anything.
+   * Applies the active quotas. Usage is tracked from now on, whether or not this entry's own
+   * callers send requests.
    */
   public void configure(Collection<Organisation> organisations, Instant now) {
     Map<String, Quota> quotas = new HashMap<>();
@@ -79,95 +90,103 @@
     quotas.forEach(
         (name, quota) -> {
           Account account = accounts.computeIfAbsent(name, n -> new Account(quota, now));
-          fill(account, now);
+          refill(account, now);
           account.quota = quota;
         });
   }
 
   /**
-   * Takes what a request counts if all entries together have not used up the quota.
+   * Charges the cost of a request if all entries together have not used up the quota. A request
+   * that costs more than the burst is admitted by a full bucket, because it would wait forever
+   * otherwise.
    *
-   * @return empty if it was taken, or how long until it may be
+   * @param cost the cost in the units of the quota
+   * @return empty if it was charged or the organisation has no quota, else the delay until it can
+   *     be charged
    */
   public Optional<Duration> charge(Organisation organisation, long cost, Instant now) {
     Account account = accounts.get(organisation.name());
     if (account == null) {
       return Optional.empty();
     }
-    fill(account, now);
-    double enough = Math.min(cost, account.quota.burst());
-    if (account.level < enough) {
-      double seconds = (enough - account.level) / account.quota.perSecond();
+    refill(account, now);
+    double required = Math.min(cost, account.quota.burst());
+    if (account.balance < required) {
+      double seconds = (required - account.balance) / account.quota.perSecond();
       return Optional.of(Duration.ofMillis((long) Math.ceil(1_000 * seconds)));
     }
-    account.level -= cost;
-    account.untold += cost;
+    account.balance -= cost;
+    account.unreportedUsage += cost;
     return Optional.empty();
   }
 
-  /** Gives back what was taken for a request that has not run. */
+  /** Refunds the cost of a request that has not run. */
   public void refund(Organisation organisation, long cost) {
     Account account = accounts.get(organisation.name());
     if (account != null) {
-      account.level += cost;
-      account.untold -= cost;
+      account.balance += cost;
+      account.unreportedUsage -= cost;
     }
   }
 
-  private void fill(Account account, Instant now) {
-    boolean silent = heardAt.plus(NEWS_VALID).isBefore(now);
-    account.fill(silent ? account.othersPerSecond : 0, now);
+  private void refill(Account account, Instant now) {
+    boolean peersUnresponsive = lastPeerUpdateAt.plus(PEER_UPDATE_TIMEOUT).isBefore(now);
+    account.refill(peersUnresponsive ? account.peerUsagePerSecond : 0, now);
   }
 
-  /** Returns what this entry's callers have used since the last call, by organisation. */
+  /** Returns the usage of this entry's callers since the last call, by organisation. */
   public Map<String, Long> drainUnreportedUsage() {
-    Map<String, Long> uses = new HashMap<>();
+    Map<String, Long> usage = new HashMap<>();
     accounts.forEach(
         (name, account) -> {
-          if (account.untold != 0) {
-            uses.put(name, account.untold);
-            account.unheard += account.untold;
-            account.untold = 0;
+          if (account.unreportedUsage != 0) {
+            usage.put(name, account.unreportedUsage);
+            account.pendingReportedUsage += account.unreportedUsage;
+            account.unreportedUsage = 0;
           }
         });
-    return uses;
+    return usage;
   }
 
   /**
-   * Takes what all entries have used, as an instance that gathers it tells them.
+   * Applies the usage of all entries, as collected and sent by an aggregator.
    *
-   * @param uses by organisation, this entry's own included that it has told before
+   * @param fleetUsage the usage by organisation, including what this entry has reported before
    */
-  public void applyFleetUsage(Map<String, Long> uses, Instant now) {
-    Map<String, Long> others = new HashMap<>();
-    uses.forEach(
-        (name, all) -> {
+  public void applyFleetUsage(Map<String, Long> fleetUsage, Instant now) {
+    Map<String, Long> peerUsage = new HashMap<>();
+    fleetUsage.forEach(
+        (name, total) -> {
           Account account = accounts.get(name);
-          long own = account == null ? 0 : Math.min(all, account.unheard);
+          long own = account == null ? 0 : Math.min(total, account.pendingReportedUsage);
           if (account != null) {
-            account.unheard -= own;
+            account.pendingReportedUsage -= own;
           }
-          others.put(name, all - own);
+          peerUsage.put(name, total - own);
         });
-    applyPeerUsage(others, now);
+    applyPeerUsage(peerUsage, now);
   }
 
-  /** Takes what other entries have used. */
-  public void applyPeerUsage(Map<String, Long> uses, Instant now) {
-    double seconds = Math.max(0, Duration.between(heardAt, now).toNanos() / 1e9);
-    double weight = 1 - Math.exp(-seconds / RATE_SECONDS);
+  /**
+   * Applies the usage that other entries report.
+   *
+   * @param peerUsage the usage since the last update, by organisation
+   */
+  public void applyPeerUsage(Map<String, Long> peerUsage, Instant now) {
+    double seconds = Math.max(0, Duration.between(lastPeerUpdateAt, now).toNanos() / 1e9);
+    double weight = 1 - Math.exp(-seconds / RATE_AVERAGING_SECONDS);
     accounts.forEach(
         (name, account) -> {
-          long used = uses.getOrDefault(name, 0L);
-          fill(account, now);
-          account.level -= used;
-          account.heardSinceUpdate += used;
+          long used = peerUsage.getOrDefault(name, 0L);
+          refill(account, now);
+          account.balance -= used;
+          account.peerUsageSinceRateUpdate += used;
           if (seconds > 0) {
-            double rate = account.heardSinceUpdate / seconds;
-            account.othersPerSecond += weight * (rate - account.othersPerSecond);
-            account.heardSinceUpdate = 0;
+            double rate = account.peerUsageSinceRateUpdate / seconds;
+            account.peerUsagePerSecond += weight * (rate - account.peerUsagePerSecond);
+            account.peerUsageSinceRateUpdate = 0;
           }
         });
-    heardAt = now;
+    lastPeerUpdateAt = now;
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/EndpointRateLimitTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/EndpointRateLimitTest.java
@@ -19,28 +19,36 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.lacewingcroft.misc.Rendezvous;
 
-/** Entries that share an endpoint's rate by their order, and what they tell each other of it. */
+/** Tests how ranked entries share an endpoint's rate limit, and the reports that they exchange. */
 class EndpointRateLimitTest {
   private static final Instant START = Instant.ofEpochSecond(1_000_000);
-  private static final OptionalDouble NONE = OptionalDouble.empty();
+  private static final OptionalDouble NO_LIMIT = OptionalDouble.empty();
   private static final Duration STEP = Duration.ofMillis(10);
-  private static final Duration RUN = Duration.ofSeconds(60);
+  private static final Duration RUN_DURATION = Duration.ofSeconds(60);
 
-  /** From the first statement to the first window that counts. */
-  private static final Duration TOLD = Duration.ofSeconds(1);
+  /** Time for the limit to reach all entries; windows that begin later are checked. */
+  private static final Duration PROPAGATION_TIME = Duration.ofSeconds(1);
 
-  private static final Duration NEWS_AGE = Duration.ofMillis(200);
+  private static final Duration REPORT_DELAY = Duration.ofMillis(200);
   private static final Duration WINDOW = Duration.ofSeconds(4);
-  private static final double OVERSHOOT = 1.5;
-  private static final double SLACK = 5;
-
-  /** Share of the rate that is used while callers ask for more at every entry. */
-  private static final double USED = 0.8;
-
-  /** A row: a region's entries, the rate stated, how often an entry is lost or comes back. */
+  private static final double MAX_OVERSHOOT_FACTOR = 1.5;
+  private static final double SLACK_REQUESTS = 5;
+
+  /**
+   * Minimum share of the rate that is used while callers request more than the rate at every entry.
+   */
+  private static final double MIN_UTILISATION = 0.8;
+
+  /**
+   * A test case.
+   *
+   * @param entries the number of entries in the region
+   * @param perSecond the advertised rate in requests per second
+   * @param churn the interval at which an entry is lost or recovers, empty for none
+   */
   record Row(int entries, double perSecond, Optional<Duration> churn) {
-    private double allowed() {
-      return OVERSHOOT * perSecond * WINDOW.toSeconds() + SLACK;
+    private double maxRequestsInWindow() {
+      return MAX_OVERSHOOT_FACTOR * perSecond * WINDOW.toSeconds() + SLACK_REQUESTS;
     }
   }
 
@@ -57,7 +65,7 @@
                                 new Row(n, rate, Optional.of(Duration.ofMillis(700))))));
   }
 
-  /** A region's entries, whose callers ask for more than the endpoint takes. */
+  /** The entries of a region whose callers send more requests than the endpoint accepts. */
   private static final class Region {
     private final Row row;
     private final Random random;
@@ -90,29 +98,29 @@
     }
 
     private void run() {
-      Instant next = now;
-      for (; now.isBefore(START.plus(RUN)); now = now.plus(STEP)) {
+      Instant nextChange = now;
+      for (; now.isBefore(START.plus(RUN_DURATION)); now = now.plus(STEP)) {
         for (int entry = 0; entry < row.entries(); entry++) {
-          ask(entry);
+          sendRequest(entry);
         }
-        if (row.churn().isPresent() && !next.isAfter(now)) {
-          next = now.plus(row.churn().get());
+        if (row.churn().isPresent() && !nextChange.isAfter(now)) {
+          nextChange = now.plus(row.churn().get());
           changeEntries();
         }
       }
     }
 
-    private void ask(int entry) {
+    private void sendRequest(int entry) {
       EndpointRateLimit limit = limits.get(entry);
       if (limit.admits(senders(entry), now)) {
         limit.recordSend(now);
         arrivals.add(now);
         limit.updateFromResponse(OptionalDouble.of(row.perSecond()), now, now);
-        limit.report(now).ifPresent(told -> limits.forEach(l -> l.updateFromPeer(told, now)));
+        limit.report(now).ifPresent(report -> limits.forEach(l -> l.updateFromPeer(report, now)));
       }
     }
 
-    /** One entry is lost or comes back, and the others hear of it at different times. */
+    /** Loses or recovers one entry, which the others detect at different times. */
     private void changeEntries() {
       int lost = random.nextInt(row.entries());
       for (int entry = 0; entry < row.entries(); entry++) {
@@ -124,73 +132,81 @@
       }
     }
 
-    private long mostInWindow() {
-      List<Instant> counted = arrivals.stream().filter(at -> at.isAfter(START.plus(TOLD))).toList();
-      long most = 0;
-      for (Instant begin : counted) {
-        most =
+    private long maxRequestsInWindow() {
+      List<Instant> counted =
+          arrivals.stream().filter(at -> at.isAfter(START.plus(PROPAGATION_TIME))).toList();
+      long max = 0;
+      for (Instant start : counted) {
+        max =
             Math.max(
-                most,
+                max,
                 counted.stream()
-                    .filter(at -> !at.isBefore(begin) && at.isBefore(begin.plus(WINDOW)))
+                    .filter(at -> !at.isBefore(start) && at.isBefore(start.plus(WINDOW)))
                     .count());
       }
-      return most;
+      return max;
     }
   }
 
   @ParameterizedTest
   @MethodSource("rows")
-  void allEntriesTogetherKeepTheRateAndUseIt(Row row) {
+  void entriesTogetherStayWithinTheRateAndUseIt(Row row) {
     Region region = new Region(row, 7);
     region.run();
-    double most = region.mostInWindow();
-    assertThat(row + ", most in a window", most, lessThanOrEqualTo(row.allowed()));
+    double maxRequests = region.maxRequestsInWindow();
+    assertThat(
+        row + ", most requests in a window",
+        maxRequests,
+        lessThanOrEqualTo(row.maxRequestsInWindow()));
     if (row.churn().isEmpty()) {
-      double used = region.arrivals.size() / (double) RUN.toSeconds();
-      assertThat(row + ", used", used, greaterThanOrEqualTo(USED * row.perSecond()));
+      double used = region.arrivals.size() / (double) RUN_DURATION.toSeconds();
+      assertThat(
+          row + ", requests per second used",
+          used,
+          greaterThanOrEqualTo(MIN_UTILISATION * row.perSecond()));
     }
   }
 
   @Test
-  void answerToAnEarlierRequestDoesNotEndTheLimit() {
+  void responseToEarlierRequestDoesNotRemoveTheLimit() {
     EndpointRateLimit limit = new EndpointRateLimit();
     limit.updateFromResponse(OptionalDouble.of(2), START, START.plusMillis(50));
     assertThat(
-        limit.updateFromResponse(NONE, START.plusMillis(40), START.plusMillis(60)), is(false));
+        limit.updateFromResponse(NO_LIMIT, START.plusMillis(40), START.plusMillis(60)), is(false));
     assertThat(limit.perSecond(), is(OptionalDouble.of(2)));
     assertThat(
-        limit.updateFromResponse(NONE, START.plusMillis(70), START.plusMillis(90)), is(true));
-    assertThat(limit.perSecond(), is(NONE));
+        limit.updateFromResponse(NO_LIMIT, START.plusMillis(70), START.plusMillis(90)), is(true));
+    assertThat(limit.perSecond(), is(NO_LIMIT));
   }
 
   @Test
-  void newsOlderThanWhatIsKnownChangesNothing() {
+  void reportOlderThanTheRecordedLimitIsIgnored() {
     EndpointRateLimit one = new EndpointRateLimit();
     EndpointRateLimit other = new EndpointRateLimit();
     one.updateFromResponse(OptionalDouble.of(2), START, START.plusMillis(10));
     EndpointRateLimit.Report limited = one.report(START.plusMillis(20)).orElseThrow();
     other.updateFromPeer(limited, START.plusMillis(20));
-    other.updateFromResponse(NONE, START.plusMillis(30), START.plusMillis(40));
+    other.updateFromResponse(NO_LIMIT, START.plusMillis(30), START.plusMillis(40));
     assertThat(
         other.updateFromPeer(one.report(START.plusMillis(50)).orElseThrow(), START), is(false));
     assertThat(
-        one.updateFromPeer(other.report(START.plusMillis(60)).orElseThrow(), START.plus(NEWS_AGE)),
+        one.updateFromPeer(
+            other.report(START.plusMillis(60)).orElseThrow(), START.plus(REPORT_DELAY)),
         is(true));
-    assertThat(one.perSecond(), is(NONE));
+    assertThat(one.perSecond(), is(NO_LIMIT));
   }
 
   @Test
-  void entryThatOnlyHeardOfLimitTellsNobody() {
+  void limitReceivedFromPeerIsNotReported() {
     EndpointRateLimit limit = new EndpointRateLimit();
     limit.updateFromPeer(new EndpointRateLimit.Report(OptionalDouble.of(2), Duration.ZERO), START);
     assertThat(limit.perSecond(), is(OptionalDouble.of(2)));
     assertThat(limit.report(START), is(Optional.empty()));
   }
 
-  /** The entries that send may all be gone, or may have no work for the endpoint. */
+  /** All senders may have crashed, or may have no requests for the endpoint. */
   @Test
-  void limitThatNobodyConfirmsIsTriedByOneRequest() {
+  void unconfirmedLimitAdmitsOneTrialRequest() {
     EndpointRateLimit limit = new EndpointRateLimit();
     limit.updateFromPeer(new EndpointRateLimit.Report(OptionalDouble.of(2), Duration.ZERO), START);
     assertThat(limit.admits(0, START.plusSeconds(14)), is(false));
@@ -198,12 +214,12 @@
     assertThat(limit.admits(0, later), is(true));
     limit.recordSend(later);
     assertThat(limit.admits(0, later.plusSeconds(1)), is(false));
-    limit.updateFromResponse(NONE, later, later.plusSeconds(2));
+    limit.updateFromResponse(NO_LIMIT, later, later.plusSeconds(2));
     assertThat(limit.admits(0, later.plusSeconds(2)), is(true));
   }
 
   @Test
-  void refusedCallersAreToldWhenTheShareIsThere() {
+  void returnsTimeUntilShareHasAccumulated() {
     EndpointRateLimit limit = new EndpointRateLimit();
     limit.updateFromResponse(OptionalDouble.of(2), START, START);
     assertThat(limit.untilAdmitted(2, START), is(Duration.ofSeconds(1)));
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/FleetQuotasTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/FleetQuotasTest.java
@@ -27,43 +27,43 @@
 import org.lacewingcroft.route.Organisation;
 import org.lacewingcroft.route.Quota;
 
-/** Entries that share quotas by what they tell each other. */
+/** Tests entries that share quotas by reporting their usage to each other. */
 class FleetQuotasTest {
   private static final Instant START = Instant.ofEpochSecond(1_000_000);
   private static final int ENTRIES = 88;
 
-  /** How old the news of another entry is when it arrives. */
-  private static final Duration NEWS_AGE = Duration.ofMillis(400);
+  /** Delay until a usage update reaches the other entries. */
+  private static final Duration UPDATE_DELAY = Duration.ofMillis(400);
 
   private static final Duration STEP = Duration.ofMillis(20);
   private static final Duration WINDOW = Duration.ofSeconds(8);
-  private static final double OVERSHOOT = 1.1;
-  private static final long SLACK = 140_000;
+  private static final double MAX_OVERSHOOT_FACTOR = 1.1;
+  private static final long SLACK_TOKENS = 140_000;
 
   private static Organisation organisation(double perSecond, double burst) {
     Quota quota = new Quota(perSecond, burst, Quota.Unit.TOKENS, 200);
     return new Organisation("desk", Set.of("k"), OptionalInt.empty(), Optional.of(quota), Set.of());
   }
 
-  /** Quotas that were in force for long enough for the buckets to be full. */
+  /** Returns quotas that have been active for long enough for the buckets to be full. */
   private static FleetQuotas quotasOf(Organisation organisation, Instant now) {
     FleetQuotas quotas = new FleetQuotas(now.minusSeconds(60));
     quotas.configure(List.of(organisation), now.minusSeconds(60));
     return quotas;
   }
 
-  private record News(Instant at, Map<String, Long> uses) {}
+  private record UsageUpdate(Instant sentAt, Map<String, Long> usage) {}
 
-  /** A fleet whose entries hear of each other's use some time later. */
+  /** A fleet whose entries receive each other's usage with a delay. */
   private static final class Fleet {
     private final Organisation organisation;
     private final Random random;
     private final List<FleetQuotas> entries;
-    private final Deque<News> onTheWay = new ArrayDeque<>();
+    private final Deque<UsageUpdate> inTransit = new ArrayDeque<>();
     private final Deque<long[]> admitted = new ArrayDeque<>();
-    private long inWindow;
-    private long mostInWindow;
-    private int refused;
+    private long tokensInWindow;
+    private long maxTokensInWindow;
+    private int rejected;
     private Instant now = START;
 
     private Fleet(Organisation organisation, long seed) {
@@ -73,49 +73,52 @@
           IntStream.range(0, ENTRIES).mapToObj(i -> quotasOf(organisation, START)).toList();
     }
 
-    /** Has callers ask at any entry for so many tokens a second, each time for some thousand. */
-    private void run(Duration time, double tokensPerSecond) {
-      Instant end = now.plus(time);
-      double owed = 0;
+    /**
+     * Sends requests to random entries at the given rate, each of which costs between 1,000 and
+     * 16,000 tokens.
+     */
+    private void run(Duration duration, double tokensPerSecond) {
+      Instant end = now.plus(duration);
+      double pendingTokens = 0;
       while (now.isBefore(end)) {
         now = now.plus(STEP);
-        owed += tokensPerSecond * STEP.toMillis() / 1_000;
-        while (owed > 0) {
+        pendingTokens += tokensPerSecond * STEP.toMillis() / 1_000;
+        while (pendingTokens > 0) {
           long cost = 1_000 + random.nextInt(15_000);
-          owed -= cost;
-          ask(cost);
+          pendingTokens -= cost;
+          sendRequest(cost);
         }
-        tell();
-        forgetOld();
+        exchangeUsage();
+        evictOutsideWindow();
       }
     }
 
-    private void ask(long cost) {
+    private void sendRequest(long cost) {
       FleetQuotas entry = entries.get(random.nextInt(ENTRIES));
       if (entry.charge(organisation, cost, now).isPresent()) {
-        refused++;
+        rejected++;
         return;
       }
       admitted.add(new long[] {now.toEpochMilli(), cost});
-      inWindow += cost;
-      mostInWindow = Math.max(mostInWindow, inWindow);
+      tokensInWindow += cost;
+      maxTokensInWindow = Math.max(maxTokensInWindow, tokensInWindow);
     }
 
-    private void tell() {
-      Map<String, Long> uses = new HashMap<>();
+    private void exchangeUsage() {
+      Map<String, Long> usage = new HashMap<>();
       entries.forEach(
-          e -> e.drainUnreportedUsage().forEach((n, use) -> uses.merge(n, use, Long::sum)));
-      onTheWay.add(new News(now, uses));
-      while (!onTheWay.isEmpty() && !onTheWay.peek().at().plus(NEWS_AGE).isAfter(now)) {
-        Map<String, Long> arrived = onTheWay.remove().uses();
+          e -> e.drainUnreportedUsage().forEach((n, tokens) -> usage.merge(n, tokens, Long::sum)));
+      inTransit.add(new UsageUpdate(now, usage));
+      while (!inTransit.isEmpty() && !inTransit.peek().sentAt().plus(UPDATE_DELAY).isAfter(now)) {
+        Map<String, Long> arrived = inTransit.remove().usage();
         entries.forEach(e -> e.applyFleetUsage(arrived, now));
       }
     }
 
-    private void forgetOld() {
+    private void evictOutsideWindow() {
       long oldest = now.minus(WINDOW).toEpochMilli();
       while (!admitted.isEmpty() && admitted.peek()[0] <= oldest) {
-        inWindow -= admitted.remove()[1];
+        tokensInWindow -= admitted.remove()[1];
       }
     }
   }
@@ -132,60 +135,61 @@
 
   @ParameterizedTest
   @MethodSource("loads")
-  void whatIsBelowTheQuotaIsNeverRefused(double perSecond, long seed) {
+  void requestsBelowTheQuotaAreNeverRejected(double perSecond, long seed) {
     Fleet fleet = new Fleet(organisation(perSecond, perSecond), seed);
     fleet.run(Duration.ofSeconds(30), perSecond * 0.56);
     fleet.run(Duration.ofSeconds(2), perSecond * 0.9);
     fleet.run(Duration.ofSeconds(10), perSecond * 0.56);
-    assertThat(fleet.refused, is(0));
+    assertThat(fleet.rejected, is(0));
   }
 
-  /** An organisation that asks for six times its usual amount, at once and after calm. */
+  /** An organisation jumps from its usual load to six times that load. */
   @ParameterizedTest
   @MethodSource("loads")
-  void allEntriesTogetherKeepTheQuota(double perSecond, long seed) {
+  void entriesTogetherStayWithinTheQuota(double perSecond, long seed) {
     Fleet fleet = new Fleet(organisation(perSecond, perSecond), seed);
     fleet.run(Duration.ofSeconds(10), perSecond * 0.56);
     fleet.run(Duration.ofSeconds(20), perSecond * 0.56 * 6);
-    double allowed = (perSecond * WINDOW.toSeconds() + perSecond) * OVERSHOOT + SLACK;
-    assertThat((double) fleet.mostInWindow, lessThanOrEqualTo(allowed));
+    double allowed =
+        (perSecond * WINDOW.toSeconds() + perSecond) * MAX_OVERSHOOT_FACTOR + SLACK_TOKENS;
+    assertThat((double) fleet.maxTokensInWindow, lessThanOrEqualTo(allowed));
     assertThat(
-        "used, not only refused",
-        (double) fleet.mostInWindow,
+        "used, not only rejected",
+        (double) fleet.maxTokensInWindow,
         greaterThan(perSecond * WINDOW.toSeconds() * 0.9));
   }
 
-  /** The other way to share a quota: each entry has a bucket with its part of rate and burst. */
+  /** Demonstrates the alternative, one bucket per entry with a fixed share of rate and burst. */
   @ParameterizedTest
   @MethodSource("loads")
-  void fixedSharesRefuseWhatIsBelowTheQuota(double perSecond, long seed) {
+  void fixedSharesRejectRequestsBelowTheQuota(double perSecond, long seed) {
     Random random = new Random(seed);
-    double[] levels = new double[ENTRIES];
-    Arrays.fill(levels, perSecond / ENTRIES);
-    int refused = 0;
-    double owed = 0;
+    double[] balances = new double[ENTRIES];
+    Arrays.fill(balances, perSecond / ENTRIES);
+    int rejected = 0;
+    double pendingTokens = 0;
     for (Instant now = START; now.isBefore(START.plusSeconds(30)); now = now.plus(STEP)) {
       double share = perSecond / ENTRIES;
       for (int i = 0; i < ENTRIES; i++) {
-        levels[i] = Math.min(share, levels[i] + share * STEP.toMillis() / 1_000);
+        balances[i] = Math.min(share, balances[i] + share * STEP.toMillis() / 1_000);
       }
-      owed += perSecond * 0.56 * STEP.toMillis() / 1_000;
-      while (owed > 0) {
+      pendingTokens += perSecond * 0.56 * STEP.toMillis() / 1_000;
+      while (pendingTokens > 0) {
         long cost = 1_000 + random.nextInt(15_000);
-        owed -= cost;
+        pendingTokens -= cost;
         int entry = random.nextInt(ENTRIES);
-        if (levels[entry] < Math.min(cost, share)) {
-          refused++;
+        if (balances[entry] < Math.min(cost, share)) {
+          rejected++;
         } else {
-          levels[entry] -= cost;
+          balances[entry] -= cost;
         }
       }
     }
-    assertThat(refused, greaterThan(0));
+    assertThat(rejected, greaterThan(0));
   }
 
   @Test
-  void quotaThatIsLoweredBindsAtOnce() {
+  void loweredQuotaAppliesImmediately() {
     Organisation desk = organisation(1_000, 10_000);
     FleetQuotas quotas = quotasOf(desk, START);
     assertThat(quotas.charge(desk, 1, START), is(Optional.empty()));
@@ -196,7 +200,7 @@
   }
 
   @Test
-  void whatHasNotRunIsGivenBack() {
+  void chargeOfRequestThatHasNotRunIsRefunded() {
     Organisation desk = organisation(100, 1_000);
     FleetQuotas quotas = quotasOf(desk, START);
     quotas.charge(desk, 1_000, START);
@@ -206,9 +210,9 @@
     assertThat(quotas.drainUnreportedUsage(), is(Map.of()));
   }
 
-  /** A request larger than the burst would wait for ever. */
+  /** Such a request would wait forever if the bucket had to hold its full cost. */
   @Test
-  void requestLargerThanTheBurstTakesWhatThereIs() {
+  void requestLargerThanTheBurstIsAdmittedByFullBucket() {
     Organisation desk = organisation(100, 1_000);
     FleetQuotas quotas = quotasOf(desk, START);
     assertThat(quotas.charge(desk, 5_000, START), is(Optional.empty()));
@@ -216,7 +220,7 @@
   }
 
   @Test
-  void othersAreTakenToGoOnWhileNothingIsHeardOfThem() {
+  void peersAreAssumedToContinueWithoutUpdates() {
     Organisation desk = organisation(1_000, 1_000);
     FleetQuotas quotas = quotasOf(desk, START);
     quotas.charge(desk, 1, START);
@@ -230,9 +234,9 @@
     assertThat(quotas.charge(desk, 960, later).isPresent(), is(true));
   }
 
-  /** An entry that has just started does not know what the others have used. */
+  /** An entry that has just started has not received the usage of the others. */
   @Test
-  void entryThatStartsBeginsWithNothing() {
+  void newEntryStartsWithEmptyBucket() {
     FleetQuotas quotas = new FleetQuotas(START);
     Organisation desk = organisation(1_000, 1_000);
     quotas.configure(List.of(desk), START);
@@ -249,16 +253,16 @@
 
   @ParameterizedTest
   @MethodSource("costs")
-  void countsTokensOrRequests(Quota.Unit unit, long stated, long cost) {
-    assertThat(new Quota(1, 1, unit, 200).costOf(stated), is(cost));
+  void countsTokensOrRequests(Quota.Unit unit, long statedTokens, long cost) {
+    assertThat(new Quota(1, 1, unit, 200).costOf(statedTokens), is(cost));
   }
 
   @Test
-  void organisationWithoutQuotaIsNeverRefused() {
-    Organisation free =
+  void organisationWithoutQuotaIsNeverRejected() {
+    Organisation unlimited =
         new Organisation("free", Set.of(), OptionalInt.empty(), Optional.empty(), Set.of());
-    FleetQuotas quotas = quotasOf(free, START);
-    assertThat(quotas.charge(free, Long.MAX_VALUE, START), is(Optional.empty()));
+    FleetQuotas quotas = quotasOf(unlimited, START);
+    assertThat(quotas.charge(unlimited, Long.MAX_VALUE, START), is(Optional.empty()));
     assertThat(quotas.drainUnreportedUsage(), is(Map.of()));
   }
 }
