--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/EndpointCrash.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/EndpointCrash.java
@@ -3,20 +3,21 @@
 import java.time.Duration;
 
 /**
- * The end of an endpoint that had a content to run.
+ * The crash of an endpoint that was running a request content. A lost or replaced incarnation
+ * counts as crashed.
  *
- * @param incarnation the incarnation that ended, as {@code id@start}
- * @param age how long ago it ended
- * @param detectedByTimeout whether it just fell silent, so that the moment of its end is known only
- *     roughly
+ * @param incarnation the incarnation that crashed, as {@code id@start}
+ * @param age the time since the crash
+ * @param detectedByTimeout whether the endpoint only became unresponsive, so that the time of the
+ *     crash is approximate
  */
 public record EndpointCrash(String incarnation, Duration age, boolean detectedByTimeout) {
-  /** Nothing is younger than now. */
+  /** Replaces a negative age with zero, because a crash cannot be in the future. */
   public EndpointCrash {
     age = age.isNegative() ? Duration.ZERO : age;
   }
 
-  /** Returns the same end some time later. */
+  /** Returns the same crash with its age increased by the given time. */
   public EndpointCrash agedBy(Duration time) {
     return new EndpointCrash(incarnation, age.plus(time), detectedByTimeout);
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/QuarantineTrials.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/QuarantineTrials.java
@@ -10,57 +10,61 @@
 import org.lacewingcroft.request.RequestFingerprint;
 
 /**
- * Decides when a quarantined content is run once more. What was quarantined by mistake is answered
- * then and cleared; what really ends endpoints costs one more and stays quarantined. The entries
- * take turns, so that one of them tries while the others still refuse.
+ * Decides when a quarantined content is run again as a trial. A content that was quarantined by
+ * mistake completes in the trial and is cleared; one that does crash endpoints crashes one more and
+ * stays quarantined. The entries take turns, so that one of them runs the trial while the others
+ * still refuse the content.
  *
  * <p>Not thread-safe.
  */
 public final class QuarantineTrials {
-  /** Time without an end after which a content is tried. */
-  static final Duration AFTER = Duration.ofMinutes(5);
+  /** Time without a crash after which a trial of a content is due. */
+  static final Duration TRIAL_DELAY = Duration.ofMinutes(5);
 
-  /** How long it is an entry's turn. */
-  static final Duration TURN = Duration.ofSeconds(10);
+  /** Length of an entry's turn. */
+  static final Duration TURN_DURATION = Duration.ofSeconds(10);
 
-  /** Trials that may end an endpoint before a content is tried no more. */
-  static final int MOST_FAILED = 2;
+  /** Number of trials that may crash an endpoint; after that no trial of the content is run. */
+  static final int MAX_FAILED_TRIALS = 2;
 
-  /** Contents remembered at most that are being tried. */
-  private static final int MOST_RUNNING = 256;
+  /** Maximum number of contents whose last trial is retained. */
+  private static final int MAX_RETAINED_TRIALS = 256;
 
-  private final Map<RequestFingerprint, Instant> triedAt = BoundedMap.evictingOldest(MOST_RUNNING);
+  private final Map<RequestFingerprint, Instant> lastTrialAt =
+      BoundedMap.evictingOldest(MAX_RETAINED_TRIALS);
 
   /**
-   * Returns whether this entry runs a quarantined content now, and notes that it does.
+   * Returns whether this entry runs a trial of a quarantined content now, and records the trial if
+   * so.
    *
-   * @param known what is known of the content
-   * @param self this entry
-   * @param entries all entries, this one included
+   * @param suspicion the recorded evidence against the content
+   * @param self the name of this entry
+   * @param entries the names of all entries, including this one
    */
-  public boolean tryStartTrial(Suspicion known, String self, List<String> entries, Instant now) {
-    RequestFingerprint content = known.content();
-    if (!isDue(known) || !isTurnOf(self, known, entries) || isRunning(content, now)) {
+  public boolean tryStartTrial(
+      Suspicion suspicion, String self, List<String> entries, Instant now) {
+    RequestFingerprint content = suspicion.content();
+    if (!isDue(suspicion) || !isTurnOf(self, suspicion, entries) || isTrialRunning(content, now)) {
       return false;
     }
-    triedAt.remove(content);
-    triedAt.put(content, now);
+    lastTrialAt.remove(content);
+    lastTrialAt.put(content, now);
     return true;
   }
 
-  private static boolean isDue(Suspicion known) {
-    int failed = known.independentCrashes() - Suspicion.QUARANTINE_THRESHOLD;
-    return failed < MOST_FAILED && known.age().compareTo(AFTER) >= 0;
+  private static boolean isDue(Suspicion suspicion) {
+    int failedTrials = suspicion.independentCrashes() - Suspicion.QUARANTINE_THRESHOLD;
+    return failedTrials < MAX_FAILED_TRIALS && suspicion.age().compareTo(TRIAL_DELAY) >= 0;
   }
 
-  private static boolean isTurnOf(String self, Suspicion known, List<String> entries) {
-    long turn = known.age().dividedBy(TURN);
-    String key = known.content() + "/" + turn;
+  private static boolean isTurnOf(String self, Suspicion suspicion, List<String> entries) {
+    long turn = suspicion.age().dividedBy(TURN_DURATION);
+    String key = suspicion.content() + "/" + turn;
     return Rendezvous.owner(entries, Function.identity(), key).filter(self::equals).isPresent();
   }
 
-  private boolean isRunning(RequestFingerprint content, Instant now) {
-    Instant at = triedAt.get(content);
-    return at != null && at.plus(TURN).isAfter(now);
+  private boolean isTrialRunning(RequestFingerprint content, Instant now) {
+    Instant startedAt = lastTrialAt.get(content);
+    return startedAt != null && startedAt.plus(TURN_DURATION).isAfter(now);
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/Suspicion.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/Suspicion.java
@@ -10,46 +10,51 @@
 import org.lacewingcroft.request.RequestFingerprint;
 
 /**
- * What is known about a content under which endpoints ended.
+ * The evidence that a request content crashes the endpoints that run it.
  *
- * @param content the content
- * @param crashes the endpoints that ended while they had it to run
- * @param clearedAge how long ago it was cleared of all earlier ends, if it was
+ * @param content the fingerprint of the content
+ * @param crashes the crashes of endpoints that were running the content
+ * @param clearedAge the time since the content was cleared of all earlier crashes, empty if it was
+ *     not cleared
  */
 public record Suspicion(
     RequestFingerprint content, Set<EndpointCrash> crashes, Optional<Duration> clearedAge) {
-  /** Independent ends of endpoints by which a content is quarantined. */
+  /** Number of independent endpoint crashes at which a content is quarantined. */
   public static final int QUARANTINE_THRESHOLD = 3;
 
   /**
-   * Ends of one moment that count. What takes several endpoints down together, a failure domain
-   * that is lost or an operator who restarts a service, takes them down under whatever is asked for
-   * most; two of them by chance are as many as a single cause may add.
+   * Maximum number of simultaneous crashes that count. A common cause, such as the loss of a
+   * failure domain or an operator's restart of a service, takes down several endpoints together
+   * whatever they run, and by chance several of them run the content that is requested most. Such a
+   * cause alone must not reach the quarantine threshold, so it adds at most two crashes.
    */
-  private static final int COUNTED_TOGETHER = 2;
+  private static final int MAX_COUNTED_SIMULTANEOUS = 2;
 
-  /** Ends within this time are of one moment, seen from instances of several regions. */
-  private static final Duration MOMENT = Duration.ofMillis(100);
+  /** Crashes within this time, as observed by instances in several regions, are simultaneous. */
+  private static final Duration SIMULTANEITY_WINDOW = Duration.ofMillis(100);
 
-  /** The same for ends by silence, noticed when the next announcements are missed. */
-  private static final Duration SILENT_MOMENT = Duration.ofMillis(2_500);
+  /** The same for crashes detected by timeout, that is, when the next announcements are missed. */
+  private static final Duration TIMEOUT_SIMULTANEITY_WINDOW = Duration.ofMillis(2_500);
 
   /** Copies the set so that the suspicion is immutable. */
   public Suspicion {
     crashes = Set.copyOf(crashes);
   }
 
-  /** A content under which an endpoint has just ended. */
-  public static Suspicion of(RequestFingerprint content, EndpointCrash end) {
-    return new Suspicion(content, Set.of(end), Optional.empty());
+  /** Returns the evidence of one crash of an endpoint that was running the content. */
+  public static Suspicion of(RequestFingerprint content, EndpointCrash crash) {
+    return new Suspicion(content, Set.of(crash), Optional.empty());
   }
 
-  /** A content that has just been cleared. */
+  /** Returns a suspicion without crashes whose content has just been cleared. */
   public static Suspicion cleared(RequestFingerprint content) {
     return new Suspicion(content, Set.of(), Optional.of(Duration.ZERO));
   }
 
-  /** Returns how many ends speak against the content, those of one moment counted as few. */
+  /**
+   * Returns the number of crashes that count as evidence against the content: at most two of each
+   * group of simultaneous ones.
+   */
   public int independentCrashes() {
     List<EndpointCrash> oldestFirst =
         crashes.stream()
@@ -59,17 +64,18 @@
                     .thenComparing(EndpointCrash::incarnation))
             .toList();
     int counted = 0;
-    int together = 0;
-    Duration momentBegan = Duration.ZERO;
-    for (EndpointCrash end : oldestFirst) {
-      Duration moment = end.detectedByTimeout() ? SILENT_MOMENT : MOMENT;
-      boolean sameMoment = together > 0 && momentBegan.minus(end.age()).compareTo(moment) <= 0;
-      if (!sameMoment) {
-        together = 0;
-        momentBegan = end.age();
+    int groupSize = 0;
+    Duration groupStartAge = Duration.ZERO;
+    for (EndpointCrash crash : oldestFirst) {
+      Duration window =
+          crash.detectedByTimeout() ? TIMEOUT_SIMULTANEITY_WINDOW : SIMULTANEITY_WINDOW;
+      boolean sameGroup = groupSize > 0 && groupStartAge.minus(crash.age()).compareTo(window) <= 0;
+      if (!sameGroup) {
+        groupSize = 0;
+        groupStartAge = crash.age();
       }
-      together++;
-      if (together <= COUNTED_TOGETHER) {
+      groupSize++;
+      if (groupSize <= MAX_COUNTED_SIMULTANEOUS) {
         counted++;
       }
     }
@@ -81,23 +87,23 @@
     return independentCrashes() >= QUARANTINE_THRESHOLD;
   }
 
-  /** Returns the incarnations that ended. */
+  /** Returns the incarnations that crashed. */
   public Set<String> crashedIncarnations() {
     return crashes.stream().map(EndpointCrash::incarnation).collect(Collectors.toUnmodifiableSet());
   }
 
-  /** Returns how long ago the last endpoint ended or the content was cleared. */
+  /** Returns the time since the last crash or since the content was cleared, if that is shorter. */
   public Duration age() {
     return Stream.concat(crashes.stream().map(EndpointCrash::age), clearedAge.stream())
         .min(Comparator.naturalOrder())
         .orElse(Duration.ZERO);
   }
 
-  /** Returns the same suspicion some time later. */
+  /** Returns the same suspicion with its ages increased by the given time. */
   public Suspicion agedBy(Duration time) {
     return new Suspicion(
         content,
-        crashes.stream().map(e -> e.agedBy(time)).collect(Collectors.toUnmodifiableSet()),
+        crashes.stream().map(c -> c.agedBy(time)).collect(Collectors.toUnmodifiableSet()),
         clearedAge.map(time::plus));
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/SuspicionLedger.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/SuspicionLedger.java
@@ -18,63 +18,79 @@
 import org.lacewingcroft.request.RequestFingerprint;
 
 /**
- * The contents under which endpoints ended, by which endpoints. A content under which several ended
- * one after the other is quarantined: it ends whatever runs it, and every endpoint that is given it
- * takes down the requests beside it.
+ * The request contents that endpoints were running when they crashed, with the crashed endpoints. A
+ * content is quarantined once several endpoints that ran it have crashed one after the other: it is
+ * assumed to crash every endpoint that runs it, and each crash also fails the other requests that
+ * the endpoint is running.
  *
- * <p>Instances merge what they know. The result does not depend on the order in which they hear of
- * it, nor on how often: evidence is a set of ends, and only grows until the content is cleared or
- * forgotten, or an endpoint turns out to be still there.
+ * <p>Instances merge their evidence. Merging is commutative and idempotent, so the result depends
+ * neither on the order of updates nor on duplicates: evidence is a set of crashes and only grows
+ * until the content is cleared or expires, or a crash is retracted because the endpoint is still
+ * alive.
  *
  * <p>Not thread-safe.
  */
 public final class SuspicionLedger {
-  /** From so many ends on the instances make sure that they have heard of the same ones. */
+  /**
+   * Number of independent crashes from which on instances make sure that they have recorded the
+   * same crashes.
+   */
   public static final int RECURRING_THRESHOLD = Suspicion.QUARANTINE_THRESHOLD - 1;
 
-  /** How long a content is remembered after an endpoint last ended under it. */
-  static final Duration MEMORY = Duration.ofHours(1);
+  /** How long a content is retained after its last crash or its clearing. */
+  static final Duration RETENTION = Duration.ofHours(1);
 
-  /** Contents remembered at most. */
-  static final int MOST_CONTENTS = 2_048;
+  /** Maximum number of contents retained. */
+  static final int MAX_CONTENTS = 2_048;
 
-  /** Ends remembered at most of a content. */
-  static final int MOST_ENDS = 16;
+  /** Maximum number of crashes retained per content. */
+  static final int MAX_CRASHES_PER_CONTENT = 16;
 
-  /** Endpoints remembered at most that were taken for ended and were still there. */
-  private static final int MOST_DISPROVED = 1_024;
+  /** Maximum number of incarnations retained that were presumed crashed and are still alive. */
+  private static final int MAX_RETRACTIONS = 1_024;
 
-  private final Map<RequestFingerprint, Entry> entries = new LinkedHashMap<>();
-  private final Map<String, Instant> disproved = BoundedMap.evictingOldest(MOST_DISPROVED);
+  private final Map<RequestFingerprint, Evidence> evidenceByContent = new LinkedHashMap<>();
+  private final Map<String, Instant> retractedAt = BoundedMap.evictingOldest(MAX_RETRACTIONS);
   private int recurringDigest;
   private int quarantinedDigest;
 
-  private record End(Instant at, boolean silent) {
-    /** Of two reports of the same end the earlier is nearer to it, and the one of a broken run. */
-    private End mergedWith(End other) {
-      return new End(at.isBefore(other.at) ? at : other.at, silent && other.silent);
+  private record CrashRecord(Instant at, boolean detectedByTimeout) {
+    /**
+     * Merges two reports of the same crash. The earlier time is closer to the crash, and a report
+     * from a lost connection is more accurate than one from a timeout.
+     */
+    private CrashRecord mergedWith(CrashRecord other) {
+      return new CrashRecord(
+          at.isBefore(other.at) ? at : other.at, detectedByTimeout && other.detectedByTimeout);
     }
   }
 
-  /** What is known of a content: the ends by incarnation, and when it was last cleared. */
-  private record Entry(Map<String, End> ends, Instant clearedAt, int independentEnds) {
-    private static Entry of(
-        RequestFingerprint content, Map<String, End> ends, Instant clearedAt, Instant now) {
-      Entry uncounted = new Entry(ends, clearedAt, 0);
-      return new Entry(ends, clearedAt, uncounted.suspicion(content, now).independentCrashes());
+  /** The evidence against a content: its crashes by incarnation, and when it was last cleared. */
+  private record Evidence(
+      Map<String, CrashRecord> crashes, Instant clearedAt, int independentCrashes) {
+    private static Evidence of(
+        RequestFingerprint content,
+        Map<String, CrashRecord> crashes,
+        Instant clearedAt,
+        Instant now) {
+      Evidence uncounted = new Evidence(crashes, clearedAt, 0);
+      return new Evidence(
+          crashes, clearedAt, uncounted.suspicion(content, now).independentCrashes());
     }
 
     private Suspicion suspicion(RequestFingerprint content, Instant now) {
       return new Suspicion(
           content,
-          ends.entrySet().stream()
-              .map(e -> endAt(e.getKey(), e.getValue(), now))
+          crashes.entrySet().stream()
+              .map(e -> toEndpointCrash(e.getKey(), e.getValue(), now))
               .collect(Collectors.toUnmodifiableSet()),
           wasCleared() ? Optional.of(Duration.between(clearedAt, now)) : Optional.empty());
     }
 
-    private static EndpointCrash endAt(String incarnation, End end, Instant now) {
-      return new EndpointCrash(incarnation, Duration.between(end.at(), now), end.silent());
+    private static EndpointCrash toEndpointCrash(
+        String incarnation, CrashRecord crash, Instant now) {
+      return new EndpointCrash(
+          incarnation, Duration.between(crash.at(), now), crash.detectedByTimeout());
     }
 
     private boolean wasCleared() {
@@ -82,196 +98,209 @@
     }
 
     private boolean isEmpty() {
-      return ends.isEmpty() && !wasCleared();
+      return crashes.isEmpty() && !wasCleared();
     }
 
-    private Instant lastChange() {
-      return ends.values().stream()
-          .map(End::at)
+    private Instant lastChangedAt() {
+      return crashes.values().stream()
+          .map(CrashRecord::at)
           .reduce(clearedAt, (one, other) -> one.isAfter(other) ? one : other);
     }
 
-    private boolean isRemembered(Instant now) {
-      return lastChange().isAfter(now.minus(MEMORY));
+    private boolean isRetained(Instant now) {
+      return lastChangedAt().isAfter(now.minus(RETENTION));
     }
 
     /**
-     * Returns a hash of the content and the evidence. Which of many endpoints an instance knows
-     * does not matter once the content is quarantined or no more of them are remembered.
+     * Returns a hash of the content and its crashes. The incarnations are left out once the content
+     * is quarantined or has the maximum number of crashes: instances may then retain different
+     * ones.
      */
     private int digest(RequestFingerprint content) {
-      boolean many = independentEnds >= Suspicion.QUARANTINE_THRESHOLD || ends.size() >= MOST_ENDS;
-      int evidence = many ? 0 : ends.keySet().hashCode();
+      boolean ignoresIncarnations =
+          independentCrashes >= Suspicion.QUARANTINE_THRESHOLD
+              || crashes.size() >= MAX_CRASHES_PER_CONTENT;
+      int crashesHash = ignoresIncarnations ? 0 : crashes.keySet().hashCode();
       byte[] bytes =
           ByteBuffer.allocate(Long.BYTES + Integer.BYTES)
               .putLong(content.value())
-              .putInt(evidence)
+              .putInt(crashesHash)
               .array();
       return MurmurHash3.hash32x86(bytes);
     }
   }
 
   /**
-   * Takes evidence.
+   * Merges received or observed evidence.
    *
-   * @return what is known of the content, if more than before
+   * @return the merged evidence against the content, empty if this adds nothing
    */
   public Optional<Suspicion> merge(Suspicion suspicion, Instant now) {
     RequestFingerprint content = suspicion.content();
-    Optional<Entry> known = Optional.ofNullable(entries.get(content));
-    Instant knownCleared = known.map(Entry::clearedAt).orElse(Instant.MIN);
-    Instant heardCleared = suspicion.clearedAge().map(now::minus).orElse(Instant.MIN);
-    Instant clearedAt = knownCleared.isAfter(heardCleared) ? knownCleared : heardCleared;
-    Map<String, End> ends = new TreeMap<>(known.map(Entry::ends).orElse(Map.of()));
-    for (EndpointCrash end : suspicion.crashes()) {
-      ends.merge(
-          end.incarnation(),
-          new End(now.minus(end.age()), end.detectedByTimeout()),
-          End::mergedWith);
+    Optional<Evidence> existing = Optional.ofNullable(evidenceByContent.get(content));
+    Instant existingClearedAt = existing.map(Evidence::clearedAt).orElse(Instant.MIN);
+    Instant receivedClearedAt = suspicion.clearedAge().map(now::minus).orElse(Instant.MIN);
+    Instant clearedAt =
+        existingClearedAt.isAfter(receivedClearedAt) ? existingClearedAt : receivedClearedAt;
+    Map<String, CrashRecord> crashes =
+        new TreeMap<>(existing.map(Evidence::crashes).orElse(Map.of()));
+    for (EndpointCrash crash : suspicion.crashes()) {
+      crashes.merge(
+          crash.incarnation(),
+          new CrashRecord(now.minus(crash.age()), crash.detectedByTimeout()),
+          CrashRecord::mergedWith);
     }
-    ends.entrySet().removeIf(e -> isRefuted(e.getKey(), e.getValue(), clearedAt));
-    keepLatest(ends);
-    Entry merged = Entry.of(content, ends, clearedAt, now);
-    if (merged.isEmpty() || !merged.isRemembered(now)) {
+    crashes.entrySet().removeIf(e -> isInvalidated(e.getKey(), e.getValue(), clearedAt));
+    evictOldestCrashes(crashes);
+    Evidence merged = Evidence.of(content, crashes, clearedAt, now);
+    if (merged.isEmpty() || !merged.isRetained(now)) {
       return Optional.empty();
     }
-    boolean learned =
-        !known.map(e -> e.ends().keySet()).equals(Optional.of(ends.keySet()))
-            || heardCleared.isAfter(knownCleared);
+    boolean changed =
+        !existing.map(e -> e.crashes().keySet()).equals(Optional.of(crashes.keySet()))
+            || receivedClearedAt.isAfter(existingClearedAt);
     replace(content, merged);
-    makeRoom();
-    return learned ? Optional.of(merged.suspicion(content, now)) : Optional.empty();
+    evictIfFull();
+    return changed ? Optional.of(merged.suspicion(content, now)) : Optional.empty();
   }
 
-  private boolean isRefuted(String incarnation, End end, Instant clearedAt) {
-    Instant seenLater = disproved.getOrDefault(incarnation, Instant.MIN);
-    return !end.at().isAfter(clearedAt) || !end.at().isAfter(seenLater);
+  private boolean isInvalidated(String incarnation, CrashRecord crash, Instant clearedAt) {
+    Instant aliveAt = retractedAt.getOrDefault(incarnation, Instant.MIN);
+    return !crash.at().isAfter(clearedAt) || !crash.at().isAfter(aliveAt);
   }
 
-  private static void keepLatest(Map<String, End> ends) {
-    while (ends.size() > MOST_ENDS) {
-      ends.remove(
-          Collections.min(ends.entrySet(), Comparator.comparing(e -> e.getValue().at())).getKey());
+  private static void evictOldestCrashes(Map<String, CrashRecord> crashes) {
+    while (crashes.size() > MAX_CRASHES_PER_CONTENT) {
+      crashes.remove(
+          Collections.min(crashes.entrySet(), Comparator.comparing(e -> e.getValue().at()))
+              .getKey());
     }
   }
 
-  /** Takes back that an incarnation ended, of all contents: it is still there. */
+  /** Removes an incarnation's crash from all contents, because the incarnation is still alive. */
   public void retractCrash(String incarnation, Instant now) {
-    disproved.remove(incarnation);
-    disproved.put(incarnation, now);
-    for (Map.Entry<RequestFingerprint, Entry> known : Map.copyOf(entries).entrySet()) {
-      Entry entry = known.getValue();
-      if (entry.ends().containsKey(incarnation)) {
-        Map<String, End> ends = new TreeMap<>(entry.ends());
-        ends.remove(incarnation);
-        replace(known.getKey(), Entry.of(known.getKey(), ends, entry.clearedAt(), now));
+    retractedAt.remove(incarnation);
+    retractedAt.put(incarnation, now);
+    for (Map.Entry<RequestFingerprint, Evidence> entry : Map.copyOf(evidenceByContent).entrySet()) {
+      Evidence evidence = entry.getValue();
+      if (evidence.crashes().containsKey(incarnation)) {
+        Map<String, CrashRecord> crashes = new TreeMap<>(evidence.crashes());
+        crashes.remove(incarnation);
+        replace(entry.getKey(), Evidence.of(entry.getKey(), crashes, evidence.clearedAt(), now));
       }
     }
   }
 
-  private void replace(RequestFingerprint content, Entry entry) {
+  private void replace(RequestFingerprint content, Evidence evidence) {
     remove(content);
-    if (!entry.isEmpty()) {
-      entries.put(content, entry);
-      countDigests(content, entry, 1);
+    if (!evidence.isEmpty()) {
+      evidenceByContent.put(content, evidence);
+      updateDigests(content, evidence, 1);
     }
   }
 
   private void remove(RequestFingerprint content) {
-    Entry removed = entries.remove(content);
+    Evidence removed = evidenceByContent.remove(content);
     if (removed != null) {
-      countDigests(content, removed, -1);
+      updateDigests(content, removed, -1);
     }
   }
 
-  private void countDigests(RequestFingerprint content, Entry entry, int sign) {
-    if (entry.independentEnds() >= RECURRING_THRESHOLD) {
-      recurringDigest += sign * entry.digest(content);
+  private void updateDigests(RequestFingerprint content, Evidence evidence, int sign) {
+    if (evidence.independentCrashes() >= RECURRING_THRESHOLD) {
+      recurringDigest += sign * evidence.digest(content);
     }
-    if (entry.independentEnds() >= Suspicion.QUARANTINE_THRESHOLD) {
-      quarantinedDigest += sign * entry.digest(content);
+    if (evidence.independentCrashes() >= Suspicion.QUARANTINE_THRESHOLD) {
+      quarantinedDigest += sign * evidence.digest(content);
     }
   }
 
-  /** Forgets the content with the least evidence, of several the one heard of longest ago. */
-  private void makeRoom() {
-    if (entries.size() <= MOST_CONTENTS) {
+  /**
+   * Evicts the content with the fewest crashes if there are too many contents; of several such
+   * contents the one that was updated longest ago.
+   */
+  private void evictIfFull() {
+    if (evidenceByContent.size() <= MAX_CONTENTS) {
       return;
     }
-    RequestFingerprint least = null;
-    int leastEnds = Integer.MAX_VALUE;
-    for (Map.Entry<RequestFingerprint, Entry> entry : entries.entrySet()) {
-      int count = entry.getValue().independentEnds();
-      if (count < leastEnds) {
-        least = entry.getKey();
-        leastEnds = count;
+    RequestFingerprint candidate = null;
+    int fewestCrashes = Integer.MAX_VALUE;
+    for (Map.Entry<RequestFingerprint, Evidence> entry : evidenceByContent.entrySet()) {
+      int crashes = entry.getValue().independentCrashes();
+      if (crashes < fewestCrashes) {
+        candidate = entry.getKey();
+        fewestCrashes = crashes;
       }
-      if (leastEnds <= 1) {
+      if (fewestCrashes <= 1) {
         break;
       }
     }
-    remove(least);
+    remove(candidate);
   }
 
-  /** Forgets what is too old. */
+  /** Removes contents and retractions that are older than the retention time. */
   public void expire(Instant now) {
-    disproved.values().removeIf(at -> !at.isAfter(now.minus(MEMORY)));
-    Iterator<Map.Entry<RequestFingerprint, Entry>> all = entries.entrySet().iterator();
-    while (all.hasNext()) {
-      Map.Entry<RequestFingerprint, Entry> entry = all.next();
-      if (!entry.getValue().isRemembered(now)) {
-        all.remove();
-        countDigests(entry.getKey(), entry.getValue(), -1);
+    retractedAt.values().removeIf(at -> !at.isAfter(now.minus(RETENTION)));
+    Iterator<Map.Entry<RequestFingerprint, Evidence>> iterator =
+        evidenceByContent.entrySet().iterator();
+    while (iterator.hasNext()) {
+      Map.Entry<RequestFingerprint, Evidence> entry = iterator.next();
+      if (!entry.getValue().isRetained(now)) {
+        iterator.remove();
+        updateDigests(entry.getKey(), entry.getValue(), -1);
       }
     }
   }
 
-  /** Returns what is known of a content that is quarantined, empty if it is not. */
+  /** Returns the evidence against a quarantined content, empty if it is not quarantined. */
   public Optional<Suspicion> quarantined(RequestFingerprint content, Instant now) {
-    return Optional.ofNullable(entries.get(content))
-        .filter(e -> e.independentEnds() >= Suspicion.QUARANTINE_THRESHOLD && e.isRemembered(now))
+    return Optional.ofNullable(evidenceByContent.get(content))
+        .filter(e -> e.independentCrashes() >= Suspicion.QUARANTINE_THRESHOLD && e.isRetained(now))
         .map(e -> e.suspicion(content, now));
   }
 
-  /** Returns the contents that are quarantined. */
+  /** Returns the evidence against all quarantined contents. */
   public List<Suspicion> quarantined(Instant now) {
-    return suspicions(e -> e.independentEnds() >= Suspicion.QUARANTINE_THRESHOLD, now);
+    return suspicions(e -> e.independentCrashes() >= Suspicion.QUARANTINE_THRESHOLD, now);
   }
 
-  /** Returns how long a content is still quarantined, empty if it is not. */
+  /** Returns how much longer a content is quarantined, empty if it is not quarantined. */
   public Optional<Duration> remainingQuarantine(RequestFingerprint content, Instant now) {
-    return quarantined(content, now).map(s -> MEMORY.minus(s.age()));
+    return quarantined(content, now).map(s -> RETENTION.minus(s.age()));
   }
 
   /**
-   * Returns what another instance that reports another digest may have missed: the contents under
-   * which at least so many endpoints ended, and those that were cleared.
+   * Returns the evidence that an instance with a different digest may have missed: contents with at
+   * least the given number of independent crashes, and cleared contents.
    *
-   * @param ends {@link #RECURRING_THRESHOLD} or {@link Suspicion#QUARANTINE_THRESHOLD}
+   * @param minCrashes {@link #RECURRING_THRESHOLD} or {@link Suspicion#QUARANTINE_THRESHOLD}
    */
-  public List<Suspicion> withCrashesOrCleared(int ends, Instant now) {
-    return suspicions(e -> e.independentEnds() >= ends || e.wasCleared(), now);
+  public List<Suspicion> withCrashesOrCleared(int minCrashes, Instant now) {
+    return suspicions(e -> e.independentCrashes() >= minCrashes || e.wasCleared(), now);
   }
 
-  private List<Suspicion> suspicions(Predicate<Entry> which, Instant now) {
-    return entries.entrySet().stream()
-        .filter(e -> which.test(e.getValue()))
+  private List<Suspicion> suspicions(Predicate<Evidence> filter, Instant now) {
+    return evidenceByContent.entrySet().stream()
+        .filter(e -> filter.test(e.getValue()))
         .map(e -> e.getValue().suspicion(e.getKey(), now))
         .toList();
   }
 
-  /** Returns a number by which instances find out whether they know the same recurring contents. */
+  /**
+   * Returns a digest by which instances compare whether they have recorded the same evidence
+   * against contents with at least {@link #RECURRING_THRESHOLD} crashes.
+   */
   public int recurringDigest() {
     return recurringDigest;
   }
 
-  /** Returns the same number for the quarantined contents. */
+  /** Returns the same kind of digest of the quarantined contents. */
   public int quarantinedDigest() {
     return quarantinedDigest;
   }
 
-  /** Returns how many contents are remembered. */
+  /** Returns the number of contents retained. */
   public int size() {
-    return entries.size();
+    return evidenceByContent.size();
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/UnansweredRuns.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/UnansweredRuns.java
@@ -12,108 +12,110 @@
 import org.lacewingcroft.request.RequestFingerprint;
 
 /**
- * The runs that endpoints did not answer in full: the connection closed, or the entry gave up
- * because the caller left or the time was over. A connection closes for many reasons, of which the
- * end of the endpoint is only one. It is known when new connections are refused, announcements are
- * missed or another incarnation is there; what the endpoint was running when it said its last word
- * is suspect then.
+ * The runs of request contents that endpoints did not complete: the connection closed, or the entry
+ * abandoned the run because the caller disconnected or the timeout expired. A connection closes for
+ * many reasons, and a crash of the endpoint is only one of them. A crash is established when new
+ * connections are refused, announcements are missed or another incarnation has replaced the
+ * endpoint; the contents that the endpoint was running when it sent its last response byte become
+ * suspect then.
  *
  * <p>Not thread-safe.
  */
 public final class UnansweredRuns {
-  /** How long after it was given up a run may turn out to have met an endpoint's end. */
-  static final Duration VALID = Duration.ofSeconds(10);
+  /** How long an incomplete run and an endpoint's crash are retained to be matched. */
+  static final Duration RETENTION = Duration.ofSeconds(10);
 
-  /** Endpoints remembered at most. */
-  static final int MOST_ENDPOINTS = 256;
+  /** Maximum number of endpoints retained. */
+  static final int MAX_ENDPOINTS = 256;
 
-  /** Runs remembered at most of one endpoint. */
-  static final int MOST_RUNS = 256;
+  /** Maximum number of runs retained per endpoint. */
+  static final int MAX_RUNS_PER_ENDPOINT = 256;
 
   /**
-   * An endpoint that answers later than this after a run was given up did not end under it. A run
-   * may be given up an instant before its endpoint ends and answers others until then.
+   * An endpoint that still sends response bytes this long after the end of a run did not crash
+   * because of it. A run may be abandoned an instant before its endpoint crashes, and the endpoint
+   * responds to other requests until then.
    */
-  private static final Duration LAST_WORDS = Duration.ofSeconds(1);
+  private static final Duration LATE_RESPONSE_TOLERANCE = Duration.ofSeconds(1);
 
-  private final Map<String, Endpoint> endpoints = BoundedMap.evictingOldest(MOST_ENDPOINTS);
+  private final Map<String, EndpointRuns> endpoints = BoundedMap.evictingOldest(MAX_ENDPOINTS);
 
-  /** What became of a run. */
+  /** How a run ended without a complete response. */
   public enum Kind {
-    /** Its connection closed, at the moment at which the endpoint ended if it did. */
+    /** Its connection closed; if the endpoint crashed, it crashed at that moment. */
     BROKEN_OFF,
-    /** The entry gave up. */
+    /** The entry abandoned it. */
     GIVEN_UP
   }
 
-  private static final class Endpoint {
+  private static final class EndpointRuns {
     private final List<Run> runs = new ArrayList<>();
-    private Instant endedAt = Instant.MIN;
+    private Instant crashedAt = Instant.MIN;
   }
 
-  private record Run(RequestFingerprint content, Kind kind, Instant at) {
+  private record Run(RequestFingerprint content, Kind kind, Instant endedAt) {
     private Suspicion suspicion(String endpoint, Instant now) {
-      EndpointCrash end =
+      EndpointCrash crash =
           kind == Kind.BROKEN_OFF
-              ? new EndpointCrash(endpoint, Duration.between(at, now), false)
+              ? new EndpointCrash(endpoint, Duration.between(endedAt, now), false)
               : new EndpointCrash(endpoint, Duration.ZERO, true);
-      return Suspicion.of(content, end);
+      return Suspicion.of(content, crash);
     }
   }
 
   /**
-   * Notes that a run was not answered in full.
+   * Records a run that was not completed.
    *
-   * @return what speaks against its content if the endpoint is known to have ended
+   * @return evidence against its content if the endpoint's crash has been recorded
    */
   public Optional<Suspicion> record(
       String endpoint, RequestFingerprint content, Kind kind, Instant now) {
-    Endpoint known = endpoints.computeIfAbsent(endpoint, e -> new Endpoint());
+    EndpointRuns endpointRuns = endpoints.computeIfAbsent(endpoint, e -> new EndpointRuns());
     Run run = new Run(content, kind, now);
-    if (known.endedAt.isAfter(now.minus(VALID))) {
+    if (endpointRuns.crashedAt.isAfter(now.minus(RETENTION))) {
       return Optional.of(run.suspicion(endpoint, now));
     }
-    if (known.runs.size() >= MOST_RUNS) {
-      known.runs.remove(0);
+    if (endpointRuns.runs.size() >= MAX_RUNS_PER_ENDPOINT) {
+      endpointRuns.runs.remove(0);
     }
-    known.runs.add(run);
+    endpointRuns.runs.add(run);
     return Optional.empty();
   }
 
   /**
-   * Notes that an endpoint has ended.
+   * Records that an endpoint has crashed.
    *
-   * @param lastByteAt when it was last heard of by an answer
-   * @return what speaks against the contents that it was running then
+   * @param lastByteAt when the endpoint's last response byte was received
+   * @return evidence against the contents that the endpoint was running then
    */
   public List<Suspicion> endpointCrashed(String endpoint, Instant lastByteAt, Instant now) {
-    Endpoint known = endpoints.computeIfAbsent(endpoint, e -> new Endpoint());
-    known.endedAt = now;
-    Instant from = lastByteAt.minus(LAST_WORDS);
-    Map<RequestFingerprint, Suspicion> suspects = new LinkedHashMap<>();
-    for (Run run : known.runs) {
-      if (!run.at().isBefore(from) && run.at().plus(VALID).isAfter(now)) {
-        suspects.put(run.content(), run.suspicion(endpoint, now));
+    EndpointRuns endpointRuns = endpoints.computeIfAbsent(endpoint, e -> new EndpointRuns());
+    endpointRuns.crashedAt = now;
+    Instant earliestEnd = lastByteAt.minus(LATE_RESPONSE_TOLERANCE);
+    Map<RequestFingerprint, Suspicion> suspicions = new LinkedHashMap<>();
+    for (Run run : endpointRuns.runs) {
+      if (!run.endedAt().isBefore(earliestEnd) && run.endedAt().plus(RETENTION).isAfter(now)) {
+        suspicions.put(run.content(), run.suspicion(endpoint, now));
       }
     }
-    known.runs.clear();
-    return List.copyOf(suspects.values());
+    endpointRuns.runs.clear();
+    return List.copyOf(suspicions.values());
   }
 
-  /** Notes that an endpoint that was taken for ended is still there. */
+  /** Records that an endpoint that was presumed crashed is still alive. */
   public void endpointRecovered(String endpoint) {
     endpoints.remove(endpoint);
   }
 
-  /** Forgets what is too old. */
+  /** Removes runs and crashes that are older than the retention time. */
   public void expire(Instant now) {
-    Instant oldest = now.minus(VALID);
-    Iterator<Endpoint> all = endpoints.values().iterator();
-    while (all.hasNext()) {
-      Endpoint endpoint = all.next();
-      endpoint.runs.removeIf(r -> r.at().isBefore(oldest));
-      if (endpoint.runs.isEmpty() && endpoint.endedAt.isBefore(oldest)) {
-        all.remove();
+    Instant cutoff = now.minus(RETENTION);
+    Iterator<EndpointRuns> iterator = endpoints.values().iterator();
+    while (iterator.hasNext()) {
+      EndpointRuns endpointRuns = iterator.next();
+      endpointRuns.runs.removeIf(r -> r.endedAt().isBefore(cutoff));
+      if (endpointRuns.runs.isEmpty() && endpointRuns.crashedAt.isBefore(cutoff)) {
+        iterator.remove();
       }
     }
   }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/quarantine/QuarantineTrialsTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/quarantine/QuarantineTrialsTest.java
@@ -28,56 +28,59 @@
       IntStream.range(0, 88).mapToObj(i -> "entry-" + i).toList();
 
   /**
-   * A content under which so many endpoints ended one after the other, the last one so long ago.
+   * Returns evidence of the given number of endpoints that crashed one after the other.
+   *
+   * @param lastAge the time since the last crash
    */
   private static Suspicion quarantined(int endpoints, Duration lastAge) {
-    Set<EndpointCrash> ends = new HashSet<>();
+    Set<EndpointCrash> crashes = new HashSet<>();
     for (int i = 0; i < endpoints; i++) {
-      ends.add(new EndpointCrash("e" + i, lastAge.plusSeconds(10L * i), false));
+      crashes.add(new EndpointCrash("e" + i, lastAge.plusSeconds(10L * i), false));
     }
-    return new Suspicion(CONTENT, ends, Optional.empty());
+    return new Suspicion(CONTENT, crashes, Optional.empty());
   }
 
   static Stream<Arguments> states() {
-    Duration due = QuarantineTrials.AFTER;
+    Duration due = QuarantineTrials.TRIAL_DELAY;
     return Stream.of(
         Arguments.of("too early", 3, due.minusMillis(1), false),
-        Arguments.of("long without an end", 3, due, true),
+        Arguments.of("no crash for the trial delay", 3, due, true),
         Arguments.of("one trial failed", 4, due, true),
-        Arguments.of("several failed", 3 + QuarantineTrials.MOST_FAILED, due, false));
+        Arguments.of(
+            "maximum number of trials failed", 3 + QuarantineTrials.MAX_FAILED_TRIALS, due, false));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("states")
-  void oneEntryTriesWhatHasEndedNothingForLong(
-      String name, int ends, Duration lastAge, boolean tried) {
-    Suspicion known = quarantined(ends, lastAge);
-    long trying =
+  void oneEntryRunsTrialAfterDelayWithoutCrash(
+      String name, int crashes, Duration lastAge, boolean expectsTrial) {
+    Suspicion suspicion = quarantined(crashes, lastAge);
+    long trials =
         ENTRIES.stream()
-            .filter(e -> new QuarantineTrials().tryStartTrial(known, e, ENTRIES, NOW))
+            .filter(e -> new QuarantineTrials().tryStartTrial(suspicion, e, ENTRIES, NOW))
             .count();
-    assertThat(trying, is(tried ? 1L : 0L));
+    assertThat(trials, is(expectsTrial ? 1L : 0L));
   }
 
-  /** Callers ask at any entry; each is to have its turn, and none tries twice within one. */
+  /** Callers send to any entry, so entries take turns, with at most one trial per turn. */
   @Test
   void entriesTakeTurns() {
     Map<String, QuarantineTrials> trials = new HashMap<>();
     ENTRIES.forEach(e -> trials.put(e, new QuarantineTrials()));
-    Set<String> tried = new HashSet<>();
+    Set<String> triedBy = new HashSet<>();
     int turns = 300;
     int runs = 0;
     for (int i = 0; i < turns * 4; i++) {
-      Duration passed = QuarantineTrials.TURN.dividedBy(4).multipliedBy(i);
-      Suspicion known = quarantined(3, QuarantineTrials.AFTER.plus(passed));
+      Duration elapsed = QuarantineTrials.TURN_DURATION.dividedBy(4).multipliedBy(i);
+      Suspicion suspicion = quarantined(3, QuarantineTrials.TRIAL_DELAY.plus(elapsed));
       for (String entry : ENTRIES) {
-        if (trials.get(entry).tryStartTrial(known, entry, ENTRIES, NOW.plus(passed))) {
-          tried.add(entry);
+        if (trials.get(entry).tryStartTrial(suspicion, entry, ENTRIES, NOW.plus(elapsed))) {
+          triedBy.add(entry);
           runs++;
         }
       }
     }
     assertThat(runs, lessThanOrEqualTo(turns));
-    assertThat(tried.size(), greaterThanOrEqualTo(ENTRIES.size() / 2));
+    assertThat(triedBy.size(), greaterThanOrEqualTo(ENTRIES.size() / 2));
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/quarantine/SuspicionLedgerTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/quarantine/SuspicionLedgerTest.java
@@ -28,23 +28,24 @@
   private static final Instant NOW = Instant.ofEpochSecond(1_000_000);
   private static final RequestFingerprint CONTENT = new RequestFingerprint(7);
 
-  private static final Duration APART = Duration.ofSeconds(3);
+  private static final Duration CRASH_INTERVAL = Duration.ofSeconds(3);
 
   private static Suspicion suspicion(RequestFingerprint content, String endpoint) {
     return Suspicion.of(content, new EndpointCrash(endpoint, Duration.ZERO, false));
   }
 
-  /** Endpoints that end one after the other, the last one now. */
+  /** Returns a ledger with endpoints that crashed one after the other, the last one now. */
   private static SuspicionLedger ledger(String... endpoints) {
-    return ledger(APART, false, endpoints);
+    return ledger(CRASH_INTERVAL, false, endpoints);
   }
 
-  private static SuspicionLedger ledger(Duration apart, boolean silent, String... endpoints) {
+  private static SuspicionLedger ledger(
+      Duration interval, boolean detectedByTimeout, String... endpoints) {
     SuspicionLedger ledger = new SuspicionLedger();
-    Duration age = apart.multipliedBy(Math.max(0, endpoints.length - 1));
+    Duration age = interval.multipliedBy(Math.max(0, endpoints.length - 1));
     for (String endpoint : endpoints) {
-      ledger.merge(Suspicion.of(CONTENT, new EndpointCrash(endpoint, age, silent)), NOW);
-      age = age.minus(apart);
+      ledger.merge(Suspicion.of(CONTENT, new EndpointCrash(endpoint, age, detectedByTimeout)), NOW);
+      age = age.minus(interval);
     }
     return ledger;
   }
@@ -53,15 +54,15 @@
     return Stream.of(
         Arguments.of("none", List.of(), false),
         Arguments.of("two endpoints", List.of("a", "b"), false),
-        Arguments.of("one endpoint, told often", List.of("a", "a", "a", "a"), false),
-        Arguments.of("two incarnations and another", List.of("a@1", "a@2", "b@1"), true),
+        Arguments.of("one endpoint, reported repeatedly", List.of("a", "a", "a", "a"), false),
+        Arguments.of("two incarnations and another endpoint", List.of("a@1", "a@2", "b@1"), true),
         Arguments.of("three endpoints", List.of("a", "b", "c"), true),
         Arguments.of("many endpoints", List.of("a", "b", "c", "d", "e"), true));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("evidence")
-  void quarantinesWhatSeveralIncarnationsEndUnder(
+  void quarantinesContentOfSeveralCrashedIncarnations(
       String name, List<String> endpoints, boolean quarantined) {
     SuspicionLedger ledger = ledger(endpoints.toArray(String[]::new));
     assertThat(ledger.remainingQuarantine(CONTENT, NOW).isPresent(), is(quarantined));
@@ -72,108 +73,117 @@
     assertThat(ledger.quarantined(NOW), hasSize(quarantined ? 1 : 0));
   }
 
-  /** Many endpoints that end at once have a cause in common, whatever they were running. */
-  static Stream<Arguments> moments() {
-    Duration noticed = Duration.ofMillis(100);
+  /** Endpoints that crash at once have a common cause, independent of what they were running. */
+  static Stream<Arguments> crashTimings() {
+    Duration window = Duration.ofMillis(100);
     return Stream.of(
         Arguments.of("at once", Duration.ZERO, false, 8, false),
-        Arguments.of("within the time that news take", noticed.dividedBy(8), false, 8, false),
-        Arguments.of("one after the other", noticed.plusMillis(1), false, 3, true),
-        Arguments.of("tried again at once", Duration.ofMillis(60), false, 3, true),
-        Arguments.of("silent within one lease", Duration.ofMillis(300), true, 8, false),
-        Arguments.of("silent one after the other", Duration.ofSeconds(3), true, 3, true));
+        Arguments.of(
+            "within the propagation time of updates", window.dividedBy(8), false, 8, false),
+        Arguments.of("one after the other", window.plusMillis(1), false, 3, true),
+        Arguments.of("retried immediately", Duration.ofMillis(60), false, 3, true),
+        Arguments.of("timed out within one lease", Duration.ofMillis(300), true, 8, false),
+        Arguments.of("timed out one after the other", Duration.ofSeconds(3), true, 3, true));
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("moments")
-  void endsOfOneMomentCountAsFew(
-      String name, Duration apart, boolean silent, int count, boolean quarantined) {
+  @MethodSource("crashTimings")
+  void simultaneousCrashesCountAtMostTwice(
+      String name, Duration interval, boolean detectedByTimeout, int count, boolean quarantined) {
     String[] endpoints =
         IntStream.range(0, count).mapToObj(Integer::toString).toArray(String[]::new);
-    SuspicionLedger ledger = ledger(apart, silent, endpoints);
+    SuspicionLedger ledger = ledger(interval, detectedByTimeout, endpoints);
     assertThat(ledger.remainingQuarantine(CONTENT, NOW).isPresent(), is(quarantined));
   }
 
   @Test
-  void clearedContentRunsUntilEndpointsEndAnew() {
+  void clearedContentIsQuarantinedOnlyAfterNewCrashes() {
     SuspicionLedger ledger = ledger("a", "b", "c");
-    Suspicion before = ledger.quarantined(NOW).get(0);
-    Instant cleared = NOW.plusSeconds(1);
-    ledger.merge(Suspicion.cleared(CONTENT), cleared);
-    ledger.merge(before.agedBy(Duration.ofSeconds(5)), NOW.plusSeconds(5));
+    Suspicion earlier = ledger.quarantined(NOW).get(0);
+    Instant now = NOW.plusSeconds(1);
+    ledger.merge(Suspicion.cleared(CONTENT), now);
+    ledger.merge(earlier.agedBy(Duration.ofSeconds(5)), NOW.plusSeconds(5));
     assertThat(ledger.remainingQuarantine(CONTENT, NOW.plusSeconds(5)).isPresent(), is(false));
     for (String endpoint : List.of("d", "e", "f")) {
-      cleared = cleared.plus(APART);
-      ledger.merge(suspicion(CONTENT, endpoint), cleared);
+      now = now.plus(CRASH_INTERVAL);
+      ledger.merge(suspicion(CONTENT, endpoint), now);
     }
-    assertThat(ledger.remainingQuarantine(CONTENT, cleared).isPresent(), is(true));
+    assertThat(ledger.remainingQuarantine(CONTENT, now).isPresent(), is(true));
   }
 
   @Test
-  void endpointThatIsStillThereProvesNothing() {
+  void retractedCrashIsNotEvidence() {
     SuspicionLedger ledger = ledger("a", "b", "c");
-    Suspicion before = ledger.quarantined(NOW).get(0);
+    Suspicion earlier = ledger.quarantined(NOW).get(0);
     ledger.retractCrash("b", NOW.plusSeconds(1));
-    ledger.merge(before.agedBy(Duration.ofSeconds(2)), NOW.plusSeconds(2));
+    ledger.merge(earlier.agedBy(Duration.ofSeconds(2)), NOW.plusSeconds(2));
     assertThat(ledger.remainingQuarantine(CONTENT, NOW.plusSeconds(2)).isPresent(), is(false));
     ledger.merge(suspicion(CONTENT, "b"), NOW.plusSeconds(3));
     assertThat(ledger.remainingQuarantine(CONTENT, NOW.plusSeconds(3)).isPresent(), is(true));
   }
 
   @Test
-  void forgetsOldEvidence() {
+  void removesExpiredEvidence() {
     SuspicionLedger ledger = ledger("a", "b", "c");
-    Instant end = NOW.plus(SuspicionLedger.MEMORY);
-    assertThat(ledger.remainingQuarantine(CONTENT, end.minusMillis(1)).isPresent(), is(true));
-    assertThat(ledger.remainingQuarantine(CONTENT, end).isPresent(), is(false));
-    ledger.expire(end);
+    Instant expiry = NOW.plus(SuspicionLedger.RETENTION);
+    assertThat(ledger.remainingQuarantine(CONTENT, expiry.minusMillis(1)).isPresent(), is(true));
+    assertThat(ledger.remainingQuarantine(CONTENT, expiry).isPresent(), is(false));
+    ledger.expire(expiry);
     assertThat(ledger.size(), is(0));
     assertThat(ledger.quarantinedDigest(), is(new SuspicionLedger().quarantinedDigest()));
   }
 
   @Test
-  void whatWasForgottenDoesNotComeBack() {
-    Suspicion old = ledger("a", "b", "c").quarantined(NOW).get(0).agedBy(SuspicionLedger.MEMORY);
+  void expiredEvidenceIsNotMerged() {
+    Suspicion expired =
+        ledger("a", "b", "c").quarantined(NOW).get(0).agedBy(SuspicionLedger.RETENTION);
     SuspicionLedger ledger = new SuspicionLedger();
-    assertThat(ledger.merge(old, NOW).isPresent(), is(false));
+    assertThat(ledger.merge(expired, NOW).isPresent(), is(false));
     assertThat(ledger.size(), is(0));
   }
 
   @Test
-  void keepsTheWorstWhenThereIsNoMoreRoom() {
+  void evictsContentsWithFewestCrashes() {
     SuspicionLedger ledger = ledger("a", "b", "c");
-    for (int i = 0; i < 3 * SuspicionLedger.MOST_CONTENTS; i++) {
+    for (int i = 0; i < 3 * SuspicionLedger.MAX_CONTENTS; i++) {
       ledger.merge(suspicion(new RequestFingerprint(1_000 + i), "d"), NOW);
     }
-    assertThat(ledger.size(), lessThanOrEqualTo(SuspicionLedger.MOST_CONTENTS));
+    assertThat(ledger.size(), lessThanOrEqualTo(SuspicionLedger.MAX_CONTENTS));
     assertThat(ledger.remainingQuarantine(CONTENT, NOW).isPresent(), is(true));
   }
 
   @Test
-  void remembersNoMoreEndpointsThanItNeeds() {
+  void retainsBoundedNumberOfCrashesPerContent() {
     String[] many = IntStream.range(0, 1_000).mapToObj(Integer::toString).toArray(String[]::new);
     SuspicionLedger ledger = new SuspicionLedger();
     for (String endpoint : many) {
       ledger.merge(suspicion(CONTENT, endpoint), NOW);
     }
-    ledger.merge(suspicion(CONTENT, "later"), NOW.plus(APART));
-    Suspicion known = ledger.quarantined(NOW.plus(APART)).get(0);
-    assertThat(known.crashes(), hasSize(SuspicionLedger.MOST_ENDS));
-    assertThat(known.crashedIncarnations(), hasItem("later"));
+    ledger.merge(suspicion(CONTENT, "later"), NOW.plus(CRASH_INTERVAL));
+    Suspicion suspicion = ledger.quarantined(NOW.plus(CRASH_INTERVAL)).get(0);
+    assertThat(suspicion.crashes(), hasSize(SuspicionLedger.MAX_CRASHES_PER_CONTENT));
+    assertThat(suspicion.crashedIncarnations(), hasItem("later"));
   }
 
   static Stream<Arguments> digests() {
     return Stream.of(
-        Arguments.of("no evidence and little", ledger(), ledger("a"), true, true),
-        Arguments.of("other recurring evidence", ledger("a", "b"), ledger("a", "c"), false, true),
-        Arguments.of("another order", ledger("a", "b", "c"), ledger("c", "b", "a"), true, true),
-        Arguments.of("other proof", ledger("a", "b", "c"), ledger("d", "e", "f"), true, true),
-        Arguments.of("proof and none", ledger("a", "b", "c"), ledger("a", "b"), false, false));
+        Arguments.of("no crash and one crash", ledger(), ledger("a"), true, true),
+        Arguments.of(
+            "different recurring evidence", ledger("a", "b"), ledger("a", "c"), false, true),
+        Arguments.of("different order", ledger("a", "b", "c"), ledger("c", "b", "a"), true, true),
+        Arguments.of(
+            "different evidence for quarantine",
+            ledger("a", "b", "c"),
+            ledger("d", "e", "f"),
+            true,
+            true),
+        Arguments.of(
+            "quarantined and recurring", ledger("a", "b", "c"), ledger("a", "b"), false, false));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("digests")
-  void digestsTellWhetherNewsAreMissing(
+  void digestsDifferIfEvidenceDiffers(
       String name,
       SuspicionLedger one,
       SuspicionLedger other,
@@ -184,16 +194,17 @@
   }
 
   /**
-   * Instances that hear of the same ends late, twice, in any order or not at all agree once they
-   * have compared their digests and told each other what recurs.
+   * Instances that receive the same crashes late, twice, in any order or not at all converge once
+   * they have compared their digests and exchanged the recurring evidence.
    */
   @Property(tries = 300)
-  void instancesAgreeWhateverWasLost(@ForAll long seed, @ForAll @IntRange(min = 2, max = 6) int n) {
+  void instancesConvergeDespiteLostUpdates(
+      @ForAll long seed, @ForAll @IntRange(min = 2, max = 6) int n) {
     Random random = new Random(seed);
     List<SuspicionLedger> ledgers =
         new ArrayList<>(IntStream.range(0, n).mapToObj(i -> new SuspicionLedger()).toList());
     Instant now = NOW;
-    for (int end = 0; end < 40; end++) {
+    for (int crash = 0; crash < 40; crash++) {
       Suspicion suspicion =
           suspicion(new RequestFingerprint(random.nextInt(6)), "e" + random.nextInt(30));
       ledgers.get(random.nextInt(n)).merge(suspicion, now);
@@ -214,7 +225,7 @@
       now = now.plusMillis(random.nextInt(400));
     }
     for (int round = 0; round < n; round++) {
-      exchangeWhatDiffers(ledgers, now);
+      exchangeDifferingEvidence(ledgers, now);
     }
     for (SuspicionLedger ledger : ledgers) {
       assertThat(ledger.recurringDigest(), is(ledgers.get(0).recurringDigest()));
@@ -228,7 +239,7 @@
     }
   }
 
-  private static void exchangeWhatDiffers(List<SuspicionLedger> ledgers, Instant now) {
+  private static void exchangeDifferingEvidence(List<SuspicionLedger> ledgers, Instant now) {
     for (SuspicionLedger from : ledgers) {
       for (SuspicionLedger to : ledgers) {
         if (from.recurringDigest() != to.recurringDigest()) {
@@ -240,57 +251,57 @@
   }
 
   static Stream<Arguments> completions() {
-    Duration valid = RecentCompletions.VALID;
+    Duration ttl = RecentCompletions.COMPLETION_TTL;
     return Stream.of(
         Arguments.of(Duration.ZERO, true),
-        Arguments.of(valid.minusMillis(1), true),
-        Arguments.of(valid, false));
+        Arguments.of(ttl.minusMillis(1), true),
+        Arguments.of(ttl, false));
   }
 
   @ParameterizedTest
   @MethodSource("completions")
-  void recentCompletionClearsItsContentOnly(Duration ago, boolean clears) {
+  void recentCompletionClearsItsContentOnly(Duration age, boolean clears) {
     RecentCompletions completions = new RecentCompletions();
-    completions.record(CONTENT, NOW.minus(ago));
+    completions.record(CONTENT, NOW.minus(age));
     assertThat(completions.isRecentlyCompleted(CONTENT, NOW), is(clears));
     assertThat(completions.isRecentlyCompleted(new RequestFingerprint(8), NOW), is(false));
   }
 
   @Test
-  void completionsTakeBoundedRoom() {
+  void retainsBoundedNumberOfCompletions() {
     RecentCompletions completions = new RecentCompletions();
     completions.record(CONTENT, NOW);
-    for (int i = 0; i < RecentCompletions.MOST_CONTENTS; i++) {
+    for (int i = 0; i < RecentCompletions.MAX_CONTENTS; i++) {
       completions.record(new RequestFingerprint(1_000 + i), NOW);
     }
     assertThat(completions.isRecentlyCompleted(CONTENT, NOW), is(not(true)));
   }
 
-  /** What became of a run that was given up at an endpoint that ended. */
-  static Stream<Arguments> givenUp() {
+  /** Cases of a run that was abandoned before its endpoint crashed. */
+  static Stream<Arguments> abandonedRuns() {
     Duration second = Duration.ofSeconds(1);
     return Stream.of(
-        Arguments.of("silent since before", second.negated(), second, true),
-        Arguments.of("answered others a moment longer", second.dividedBy(2), second, true),
-        Arguments.of("went on answering", second.multipliedBy(2), second.multipliedBy(3), false),
-        Arguments.of("ended long after", second.negated(), UnansweredRuns.VALID, false));
+        Arguments.of("no response since before", second.negated(), second, true),
+        Arguments.of("responded to others a moment longer", second.dividedBy(2), second, true),
+        Arguments.of("continued to respond", second.multipliedBy(2), second.multipliedBy(3), false),
+        Arguments.of("crashed long after", second.negated(), UnansweredRuns.RETENTION, false));
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("givenUp")
-  void runGivenUpIsSuspectIfItsEndpointSaidNothingMore(
-      String name, Duration lastByteAfter, Duration endedAfter, boolean suspect) {
+  @MethodSource("abandonedRuns")
+  void abandonedRunIsSuspectIfItsEndpointStoppedResponding(
+      String name, Duration lastByteAfter, Duration crashedAfter, boolean suspect) {
     UnansweredRuns runs = new UnansweredRuns();
     assertThat(runs.record("e", CONTENT, Kind.GIVEN_UP, NOW).isPresent(), is(false));
-    List<Suspicion> suspects =
-        runs.endpointCrashed("e", NOW.plus(lastByteAfter), NOW.plus(endedAfter));
-    List<RequestFingerprint> contents = suspects.stream().map(Suspicion::content).toList();
+    List<Suspicion> suspicions =
+        runs.endpointCrashed("e", NOW.plus(lastByteAfter), NOW.plus(crashedAfter));
+    List<RequestFingerprint> contents = suspicions.stream().map(Suspicion::content).toList();
     assertThat(contents, is(suspect ? List.of(CONTENT) : List.of()));
     assertThat(runs.endpointCrashed("e", NOW, NOW), is(List.of()));
   }
 
   @Test
-  void brokenRunEndedWithItsEndpointAndSilentOneAtAnUnknownMoment() {
+  void onlyLostConnectionGivesExactCrashTime() {
     UnansweredRuns runs = new UnansweredRuns();
     RequestFingerprint other = new RequestFingerprint(8);
     runs.record("e", CONTENT, Kind.BROKEN_OFF, NOW);
@@ -305,7 +316,7 @@
   }
 
   @Test
-  void runsAtAnEndpointThatIsBackAreNotSuspect() {
+  void runsAtRecoveredEndpointAreNotSuspect() {
     UnansweredRuns runs = new UnansweredRuns();
     runs.endpointCrashed("e", NOW, NOW);
     runs.endpointRecovered("e");
@@ -313,10 +324,10 @@
   }
 
   @Test
-  void runGivenUpAfterItsEndpointEndedIsSuspectAtOnce() {
+  void runAbandonedAfterCrashIsSuspectImmediately() {
     UnansweredRuns runs = new UnansweredRuns();
     runs.endpointCrashed("e", NOW, NOW);
-    Instant late = NOW.plus(UnansweredRuns.VALID);
+    Instant late = NOW.plus(UnansweredRuns.RETENTION);
     Kind kind = Kind.GIVEN_UP;
     assertThat(runs.record("e", CONTENT, kind, NOW.plusSeconds(1)).isPresent(), is(true));
     assertThat(runs.record("e", CONTENT, kind, late).isPresent(), is(false));
@@ -324,18 +335,18 @@
   }
 
   @Test
-  void unansweredRunsTakeBoundedRoomAndTime() {
+  void retainsBoundedNumberOfRunsForBoundedTime() {
     UnansweredRuns runs = new UnansweredRuns();
-    for (int i = 0; i < 3 * UnansweredRuns.MOST_RUNS; i++) {
+    for (int i = 0; i < 3 * UnansweredRuns.MAX_RUNS_PER_ENDPOINT; i++) {
       runs.record("e", new RequestFingerprint(i), Kind.GIVEN_UP, NOW);
     }
-    assertThat(runs.endpointCrashed("e", NOW, NOW), hasSize(UnansweredRuns.MOST_RUNS));
+    assertThat(runs.endpointCrashed("e", NOW, NOW), hasSize(UnansweredRuns.MAX_RUNS_PER_ENDPOINT));
     runs.record("f", CONTENT, Kind.GIVEN_UP, NOW);
-    for (int i = 0; i < UnansweredRuns.MOST_ENDPOINTS; i++) {
+    for (int i = 0; i < UnansweredRuns.MAX_ENDPOINTS; i++) {
       runs.record("g" + i, CONTENT, Kind.GIVEN_UP, NOW);
     }
     assertThat(runs.endpointCrashed("f", NOW, NOW), is(List.of()));
-    Instant later = NOW.plus(UnansweredRuns.VALID).plusMillis(1);
+    Instant later = NOW.plus(UnansweredRuns.RETENTION).plusMillis(1);
     runs.expire(later);
     assertThat(runs.endpointCrashed("g9", NOW, NOW), is(List.of()));
   }
