--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/request/CallerRequest.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/request/CallerRequest.java
@@ -16,26 +16,27 @@
 import org.lacewingcroft.routing.RouteRequest;
 
 /**
- * A caller's chat completion request as the gateway understands it, parsed from the
- * OpenAI-compatible JSON body and the gateway's headers.
+ * A caller's request, parsed from the OpenAI-compatible JSON body of a chat completion or from a
+ * call to a plain service, and from the gateway's headers.
  *
  * <p>Headers read: {@code X-Organisation} (required), {@code X-Residency} (comma-separated
  * regions), {@code X-Priority}, {@code Idempotency-Key}, {@code X-Idempotent} ({@code false} marks
  * the request non-idempotent and then requires a key), {@code X-Deadline-Millis} (how long the
- * caller will wait) and {@code X-Lacewingcroft-Forwarded} (set by a gateway that forwarded it from
- * another region).
+ * caller waits) and {@code X-Lacewingcroft-Forwarded} (set by a gateway that forwarded the request
+ * from another region).
  *
  * @param organisation the caller's organisation
- * @param model the model from the body
- * @param stream whether the caller asked for server-sent events
+ * @param model the model from the body, or the name of the called service
+ * @param stream whether the caller requested server-sent events
  * @param priority the priority, {@code normal} by default
- * @param residency regions the request may be served in; empty means any
- * @param idempotencyKey the caller's key, if any
+ * @param residency the regions in which the request may be served; empty means any
+ * @param idempotencyKey the caller's idempotency key, if any
  * @param idempotent false if the request must run at most once
- * @param timeout how long the caller will wait from now
- * @param forwardedFrom the region that forwarded it here, if any
- * @param prefixKey the first characters of the first message, for cache affinity
- * @param body the raw body, relayed unchanged to the engine
+ * @param timeout how long the caller waits, from now
+ * @param forwardedFrom the region that forwarded the request here, if any
+ * @param prefixKey the first {@link #PREFIX_CHARS} characters of the first message, for cache
+ *     affinity
+ * @param body the raw body, relayed unchanged to the endpoint
  * @param path the path to call on the endpoint, such as {@code /v1/chat/completions}
  */
 public record CallerRequest(
@@ -55,7 +56,9 @@
   /** Header naming the caller's organisation. */
   public static final String ORGANISATION_HEADER = "X-Organisation";
 
-  /** The header in which stock OpenAI clients name it; used if the other one is missing. */
+  /**
+   * Header in which standard OpenAI clients name the organisation; read if the other is missing.
+   */
   public static final String OPENAI_ORGANISATION_HEADER = "OpenAI-Organization";
 
   /** Header listing allowed regions. */
@@ -73,13 +76,13 @@
   /** Header set by a gateway that forwarded the request from another region. */
   public static final String FORWARDED_HEADER = "X-Lacewingcroft-Forwarded";
 
-  /** Header saying how many milliseconds the caller will still wait. */
+  /** Header carrying the remaining time in milliseconds that the caller waits. */
   public static final String DEADLINE_HEADER = "X-Deadline-Millis";
 
-  /** How long a request may take whose caller named no deadline. */
+  /** Timeout of a request whose caller set no deadline. */
   public static final Duration DEFAULT_TIMEOUT = Duration.ofMinutes(2);
 
-  private static final Duration MAX_PATIENCE = Duration.ofMinutes(30);
+  private static final Duration MAX_TIMEOUT = Duration.ofMinutes(30);
 
   /** How many characters of the prompt form the cache affinity key. */
   public static final int PREFIX_CHARS = 256;
@@ -94,10 +97,10 @@
    *
    * @param headers looks up a header by name, case-insensitively; null when absent
    * @param body the request body
-   * @param knownRegions the deployment's regions, to check the residency
+   * @param knownRegions supplies the deployment's regions, to validate the residency
    * @return the request
    * @throws GatewayException of kind {@link ErrorKind#MALFORMED_REQUEST} or {@link
-   *     ErrorKind#UNKNOWN_REGION}; no endpoint has seen the request then
+   *     ErrorKind#UNKNOWN_REGION}; the request has not been sent to any endpoint then
    */
   public static CallerRequest parse(
       Function<String, String> headers, byte[] body, Supplier<Set<String>> knownRegions) {
@@ -132,14 +135,14 @@
   }
 
   /**
-   * Parses a call to a plain service, {@code /v1/services/<service><path>}; the body is relayed as
-   * it is.
+   * Parses a call to a plain service, {@code /v1/services/<service><path>}; the body is relayed
+   * unchanged.
    *
-   * @param headers looks up a header by name; null when absent
+   * @param headers looks up a header by name, case-insensitively; null when absent
    * @param service the service name, routed like a model name
    * @param path the path to call on the service, starting with {@code /}
-   * @param body the body
-   * @param knownRegions the deployment's regions
+   * @param body the request body
+   * @param knownRegions supplies the deployment's regions, to validate the residency
    * @return the request
    * @throws GatewayException of kind {@link ErrorKind#MALFORMED_REQUEST} or {@link
    *     ErrorKind#UNKNOWN_REGION}
@@ -195,19 +198,22 @@
         residency,
         key,
         !(markedNonIdempotent || key.isPresent()),
-        parsePatience(headers.apply(DEADLINE_HEADER)),
+        parseTimeout(headers.apply(DEADLINE_HEADER)),
         Optional.ofNullable(headers.apply(FORWARDED_HEADER)),
         prefixKey,
         body.clone(),
         path);
   }
 
-  /** Returns what the request asks for, whoever sends it. */
+  /** Returns the fingerprint of the request content, which does not depend on the caller. */
   public RequestFingerprint fingerprint() {
     return RequestFingerprint.of("POST", "", model + ' ' + path, body);
   }
 
-  /** Returns the key under which the owner records this request: organisation and key. */
+  /**
+   * Returns the key under which the owner instance records this request: the organisation and the
+   * idempotency key.
+   */
   public Optional<String> scopedIdempotencyKey() {
     return idempotencyKey.map(k -> organisation + "/" + k);
   }
@@ -221,18 +227,18 @@
             .map(String::trim)
             .filter(s -> !s.isEmpty())
             .collect(Collectors.toSet());
-    Set<String> known = knownRegions.get();
+    Set<String> supported = knownRegions.get();
     for (String region : regions) {
-      if (!known.contains(region)) {
+      if (!supported.contains(region)) {
         throw new GatewayException(
             ErrorKind.UNKNOWN_REGION,
-            "residency names region '" + region + "', which is not one of " + known);
+            "residency names region '" + region + "', which is not one of " + supported);
       }
     }
     return regions;
   }
 
-  private static Duration parsePatience(String header) {
+  private static Duration parseTimeout(String header) {
     if (header == null) {
       return DEFAULT_TIMEOUT;
     }
@@ -240,8 +246,8 @@
       throw malformed(
           "header " + DEADLINE_HEADER + " is '" + header + "', not a positive number of ms");
     }
-    Duration patience = Duration.ofMillis(Long.parseLong(header));
-    return patience.compareTo(MAX_PATIENCE) > 0 ? MAX_PATIENCE : patience;
+    Duration timeout = Duration.ofMillis(Long.parseLong(header));
+    return timeout.compareTo(MAX_TIMEOUT) > 0 ? MAX_TIMEOUT : timeout;
   }
 
   private static String prefixOf(JsonNode messages) {
@@ -254,18 +260,18 @@
   }
 
   /**
-   * Returns what the router needs of this request.
+   * Returns the attributes of this request that the router needs.
    *
-   * @param passedOver endpoint ids and regions not to choose
+   * @param excluded endpoint ids and regions that the router must not select
    */
-  public RouteRequest toRouteRequest(Set<String> passedOver) {
+  public RouteRequest toRouteRequest(Set<String> excluded) {
     return new RouteRequest(
         organisation,
         model,
         priority,
         residency,
         forwardedFrom.isPresent(),
-        passedOver,
+        excluded,
         body.length,
         prefixKey);
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/request/RequestFingerprint.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/request/RequestFingerprint.java
@@ -9,33 +9,39 @@
 import org.lacewingcroft.route.HostHeader;
 
 /**
- * Names what a request asks for, whoever sends it and under which request id: the first 64 bits of
- * SHA-256 over its method, host, target and body. Two requests with the same fingerprint are the
- * same work for an endpoint.
+ * Identifies the content of a request, independent of its sender and request id: the first 64 bits
+ * of the SHA-256 hash over its method, host, target and body. Requests with the same fingerprint
+ * cause the same work at an endpoint.
  *
- * @param value the hash
+ * @param value the first 64 bits of the hash, in big-endian order
  */
 public record RequestFingerprint(long value) {
   private static final String ALGORITHM = "SHA-256";
 
-  private static final int DIGITS = 16;
+  private static final int HEX_DIGIT_COUNT = 16;
 
-  /** Ends each field of the head; none of them can contain it. */
-  private static final char END = '\n';
+  /** Terminates each hashed field before the body; no such field can contain it. */
+  private static final char FIELD_TERMINATOR = '\n';
 
   /**
    * Returns the fingerprint of a request.
    *
-   * @param method its method
-   * @param hostHeader its Host header; its port does not count, as it may name one entry
-   * @param target its path and query
-   * @param body its body
+   * @param method the HTTP method
+   * @param hostHeader the Host header; its port is ignored, because it may belong to one entry only
+   * @param target the path and query
+   * @param body the request body
    */
   public static RequestFingerprint of(
       String method, String hostHeader, String target, byte[] body) {
-    String head = method + END + HostHeader.nameOf(hostHeader) + END + target + END;
+    String fields =
+        method
+            + FIELD_TERMINATOR
+            + HostHeader.nameOf(hostHeader)
+            + FIELD_TERMINATOR
+            + target
+            + FIELD_TERMINATOR;
     MessageDigest digest = newDigest();
-    digest.update(head.getBytes(StandardCharsets.UTF_8));
+    digest.update(fields.getBytes(StandardCharsets.UTF_8));
     return new RequestFingerprint(ByteBuffer.wrap(digest.digest(body)).getLong());
   }
 
@@ -43,24 +49,24 @@
     try {
       return MessageDigest.getInstance(ALGORITHM);
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java platform has " + ALGORITHM, e);
+      throw new IllegalStateException("Missing required message digest algorithm " + ALGORITHM, e);
     }
   }
 
   /**
-   * Returns the fingerprint that reads so.
+   * Parses the textual form of a fingerprint.
    *
    * @param digits 16 hexadecimal digits
-   * @return empty if they are not
+   * @return the fingerprint, empty if the text has another form
    */
   public static Optional<RequestFingerprint> parse(String digits) {
-    if (digits.length() != DIGITS || !digits.chars().allMatch(HexFormat::isHexDigit)) {
+    if (digits.length() != HEX_DIGIT_COUNT || !digits.chars().allMatch(HexFormat::isHexDigit)) {
       return Optional.empty();
     }
     return Optional.of(new RequestFingerprint(HexFormat.fromHexDigitsToLong(digits)));
   }
 
-  /** Returns its 16 hexadecimal digits. */
+  /** Returns the fingerprint as 16 hexadecimal digits. */
   @Override
   public String toString() {
     return HexFormat.of().toHexDigits(value);
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/request/RequestFingerprintTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/request/RequestFingerprintTest.java
@@ -28,7 +28,7 @@
 
   @ParameterizedTest
   @MethodSource("requests")
-  void tellsRequestsApartByWhatTheyAskFor(
+  void distinguishesRequestsByContent(
       String method, String host, String target, String body, boolean same) {
     RequestFingerprint other = fingerprint(method, host, target, body);
     assertThat(other.equals(BASE), is(same));
