--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/KeyOwnership.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/KeyOwnership.java
@@ -31,8 +31,8 @@
  * an owner that restarted with an empty table nor two daemons that both act as the owner can run a
  * key again.
  *
- * <p>An entry that has just started does not know its peers and claims no key until membership has
- * converged. While a replica does not reply, and until membership removes it, claims remain
+ * <p>An entry that has just started has not discovered its peers and claims no key until membership
+ * has converged. While a replica does not reply, and until membership removes it, claims remain
  * unconfirmed and their requests are refused as not run, which is safe to retry. When the region's
  * entries change, records are sent to the replicas that became responsible for them.
  */
