--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/AggregatedUpdateChannel.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/AggregatedUpdateChannel.java
@@ -14,15 +14,14 @@
 import org.lacewingcroft.limit.EndpointRateLimit;
 
 /**
- * An entry tells its news to the aggregator of its region, which tells all entries: one message out
- * and one in for each interval, however many entries there are.
+ * Sends an entry's updates to the aggregator of its region, which distributes them to all entries: one message out and one in per interval, regardless of the number of entries.
  *
- * <p>Owned by the event loop.
+ * <p>Confined to the event loop thread.
  */
 final class AggregatedUpdateChannel implements UpdateChannel {
   private static final long REPORT_MILLIS = 120;
 
-  /** Pause after which unchanged work is told again: others believe a report for 1.5 s. */
+  /** Interval after which an unchanged load is reported again: other entries use a report for 1.5 s. */
   private static final Duration REPEAT = Duration.ofSeconds(1);
 
   private final FleetSettings settings;
@@ -34,7 +33,7 @@
   private List<Told> told = List.of();
   private Instant toldAt = Instant.EPOCH;
 
-  /** What others were told of the work at an endpoint, but for the age of its prompts. */
+  /** The load at an endpoint as last reported, without the age of its prompts. */
   private record Told(
       String endpoint,
       int running,
@@ -95,7 +94,7 @@
     return true;
   }
 
-  /** They go with the report that follows. */
+  /** Quota usage is sent with the next load report. */
   @Override
   public void quotaUses(Map<String, Long> uses) {
     uses.forEach((name, use) -> quotaUses.merge(name, use, Long::sum));
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
@@ -23,48 +23,40 @@
 import org.lacewingcroft.route.RouteTable;
 
 /**
- * A control instance of a fleet: keeps the roster of endpoints from their announcements, knows the
- * entries that take callers, and holds the routing state in its {@link RoutingControl}.
+ * A control instance of a fleet: maintains the roster of endpoints from their announcements, tracks the entries that accept requests, and holds the routing state in its {@link RoutingControl}.
  *
- * <p>Announcements are passed on to the other control instances in small batches; what changes the
- * roster is pushed to every entry at once, and a digest in each entry's report finds what a push
- * missed. That an endpoint leaves is acknowledged only once a majority of the group knows it, so
- * that no single loss forgets it.
+ * <p>Announcements are forwarded to the other control instances in small batches. Changes of the roster are pushed to the entries immediately; the digest in each entry's report detects missed pushes. An endpoint's draining or deregistration is acknowledged only after a majority of the group has recorded it, so that the loss of any one instance does not lose it.
  *
- * <p>All state is owned by the event loop.
+ * <p>All state is confined to the event loop thread.
  */
 public final class ControlNode implements AutoCloseable {
   private static final System.Logger LOG = System.getLogger(ControlNode.class.getName());
 
-  /** How often announcements are passed on. */
+  /** Interval at which announcements are forwarded. */
   private static final long FLUSH_MILLIS = 100;
 
-  /** How often control instances greet each other and leases are checked. */
+  /** Interval at which control instances exchange hello messages and check leases. */
   private static final long HELLO_MILLIS = 800;
 
-  /** An entry that has not reported for this long is not named to callers. */
+  /** Time without a report after which an entry is not listed to callers. */
   private static final Duration ENTRY_VALID = Duration.ofMillis(1_700);
 
-  /** The same for one that goes by other control instances and so reports less often. */
+  /** The same for an entry that follows other control instances and so reports less often. */
   private static final Duration DISTANT_ENTRY_VALID = Duration.ofSeconds(5);
 
-  /**
-   * Time since an entry was first heard, at the start or after a cut, in which its neighbours are
-   * heard as well. A list made before names few of them, and each entry that gets such a list takes
-   * itself for one of the few that may send to a cold endpoint.
-   */
+  /** Time for which an entry must have been reporting without interruption before it receives a list of entries; by then, after a start or a network partition, its neighbours have reported as well. An earlier list would contain only a few of them, and each entry that receives it would assume that it is one of the few that may send to a cold endpoint. */
   private static final Duration ENTRIES_HEARD = Duration.ofMillis(1_600);
 
-  /** A control instance that has not greeted for this long is not named to others. */
+  /** Time without a hello message after which a control instance is not listed to others. */
   private static final Duration CONTROL_VALID = Duration.ofSeconds(10);
 
-  /** Announcements that may be missing before an endpoint counts as lost. */
+  /** Number of announcements that may be missed before an endpoint is marked as lost. */
   private static final int LEASE_HEARTBEATS = 4;
 
-  /** Pause before a data folder that failed is opened again. */
+  /** Delay before a data folder that failed is opened again. */
   private static final long REOPEN_MILLIS = 1_000;
 
-  /** Least pause between two whole rosters to one entry. */
+  /** Minimum interval between two complete rosters sent to one entry. */
   private static final Duration WHOLE_PAUSE = Duration.ofMillis(900);
 
   private final FleetSettings settings;
@@ -113,7 +105,7 @@
   }
 
   /**
-   * Starts a control instance.
+   * Creates a control instance and opens its data folder.
    *
    * @throws IOException if the data folder cannot be used
    */
@@ -164,11 +156,7 @@
         failure -> context.runOnContext(v -> reopenLater()));
   }
 
-  /**
-   * Goes on without the control group after the data folder failed, and opens it again once it can
-   * be used: what it holds on disk is all that this instance may then still stand for. A full or
-   * faulty disk so costs one member for a while and not the directory and the roster as well.
-   */
+  /** Schedules attempts to reopen the data folder after it failed. Until one succeeds, this instance runs without its control group; then it holds only the state that the disk holds. A full or faulty disk thus disables one member of the group temporarily, but not its directory and roster. */
   private void reopenLater() {
     vertx.setTimer(
         REOPEN_MILLIS,
@@ -182,7 +170,7 @@
         });
   }
 
-  /** Listens and begins to greet. */
+  /** Starts listening and sending hello messages. */
   public Future<Void> start() {
     vertx.setPeriodic(FLUSH_MILLIS, id -> flush());
     vertx.setPeriodic(HELLO_MILLIS, id -> hello());
@@ -193,12 +181,12 @@
         .mapEmpty();
   }
 
-  /** Takes other seeds from changed settings. */
+  /** Replaces the seed peers after the settings have changed. */
   public void updateSeeds(List<String> peers) {
     seeds = List.copyOf(peers);
   }
 
-  /** Returns the orders of operators. */
+  /** Returns the relay for operator orders. */
   public OrderRelay orders() {
     return orders;
   }
@@ -208,20 +196,20 @@
     return control.view();
   }
 
-  /** Returns how many endpoints are known. */
+  /** Returns the number of recorded endpoints. */
   public int endpoints() {
     return roster.size();
   }
 
-  /** Returns how many contents are quarantined, for metrics. */
+  /** Returns the number of quarantined request contents, for metrics. */
   public int quarantinedContents() {
     return suspicions.size();
   }
 
   /**
-   * Takes an endpoint's announcement.
+   * Applies an endpoint's announcement.
    *
-   * @return whether it may be acknowledged; if not, the endpoint shall try another instance
+   * @return whether it may be acknowledged; if not, the endpoint should try another instance
    */
   public Future<Boolean> announce(EndpointRecord record) {
     return take(record)
@@ -251,11 +239,11 @@
   }
 
   /**
-   * Takes an endpoint's word that it leaves now.
+   * Applies an endpoint's deregistration.
    *
    * @param id its id
-   * @param startedAtMillis when the incarnation started that leaves; 0 if it does not say, which
-   *     stands for the one known
+   * @param startedAtMillis start of the incarnation that deregisters; 0 if not given, which stands for the recorded incarnation
+   * @return whether it may be acknowledged; if not, the endpoint should try another instance
    */
   public Future<Boolean> deregister(String id, long startedAtMillis) {
     EndpointRecord gone =
@@ -276,10 +264,7 @@
         id, startedAtMillis, "", "", "", 0, EndpointState.GONE, Long.MAX_VALUE, 0);
   }
 
-  /**
-   * Returns whether announcements of a service are taken: it stands in the routing document, or
-   * none is in force yet, or the endpoint was taken before its service was dropped.
-   */
+  /** Returns whether announcements of a service are accepted: the active routing document contains the service, or no document is active yet, or the endpoint was accepted before its service was removed. */
   public boolean acceptsAnnouncementsOf(String service, String endpointId) {
     RouteTable table = routes();
     return table.version() == 0
@@ -298,15 +283,15 @@
   /**
    * Returns the public addresses of entries for a caller.
    *
-   * @param host the host that it wants to call
-   * @param region its region
-   * @param most how many addresses it takes
+   * @param host the host that the caller requests
+   * @param region the caller's region
+   * @param limit maximum number of addresses
    */
   public List<String> entriesFor(String host, String region, int most) {
     return DirectoryChoice.of(readyEntries(), region, routes().homesOf(host), most);
   }
 
-  /** Returns the routes in force, read anew only when their version has changed. */
+  /** Returns the active routes, parsing the document again only when its version has changed. */
   private RouteTable routes() {
     RoutingState state = control.view().routing();
     if (state.version() != routes.version()) {
@@ -367,7 +352,7 @@
     Instant now = clock.instant();
     seen.heard(report, now);
     String peer = report.entry().peerAddress();
-    // Before the pulse, by which an entry that has just started becomes ready for callers.
+    // Sent before the heartbeat reply, on which an entry that has just started becomes ready.
     suspicions.compare(report);
     transport.send(peer, pulse(report.reportId()));
     if (report.wantsUpdates()) {
@@ -375,7 +360,7 @@
     }
   }
 
-  /** Sends the roster and the list of entries if the reporting entry knows others. */
+  /** Sends the roster and the list of entries if the digests in the entry's report differ. */
   private void sendDifferences(SeenEntry seen, FleetMessage.EntryReport report, Instant now) {
     String peer = report.entry().peerAddress();
     boolean settled = settled(now);
@@ -398,7 +383,7 @@
     }
   }
 
-  /** Whether this instance has run for as long as an endpoint may stay unheard of. */
+  /** Returns whether this instance has run long enough to have received an announcement of every endpoint. */
   private boolean settled(Instant now) {
     return startedAt.plus(settings.endpointHeartbeat().multipliedBy(2)).isBefore(now);
   }
@@ -446,7 +431,7 @@
     if (majority) {
       Duration lease = settings.endpointHeartbeat().multipliedBy(LEASE_HEARTBEATS);
       List<EndpointRecord> lost = roster.expire(now, lease);
-      lost.forEach(r -> RosterLog.changed(r, "lease over"));
+      lost.forEach(r -> RosterLog.changed(r, "lease expired"));
       if (!lost.isEmpty()) {
         pushToReliant(lost);
       }
@@ -475,18 +460,12 @@
     }
   }
 
-  /**
-   * Tells every entry: once an endpoint's leaving is acknowledged, none may send to it any more,
-   * whatever the control instances that the entry goes by have heard.
-   */
+  /** Sends records to every entry, including those that follow other control instances: after a deregistration or the start of draining is acknowledged, no entry may send requests to the endpoint, regardless of what the control instances it follows have received. */
   private void pushToAll(List<EndpointRecord> records) {
     transport.sendAll(peers(e -> true), rosterUpdate(records));
   }
 
-  /**
-   * Tells the entries that go by this instance of changed records. Each control instance does so
-   * once it has heard of them.
-   */
+  /** Sends changed records to the entries that follow this instance. Each control instance does so when it receives them. */
   private void pushToReliant(List<EndpointRecord> records) {
     transport.sendAll(peers(e -> e.wantsLists), rosterUpdate(records));
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/CrashProbe.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/CrashProbe.java
@@ -10,14 +10,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Finds out whether an endpoint that closed a connection under a request has ended. Connections
- * close for many reasons; only a port at which nobody listens refuses new ones. A reset on the way
- * can make one attempt look refused, so it takes two in a row.
+ * Checks whether an endpoint that closed a connection during a request has crashed. Connections are closed for many reasons, but only a port without a listener refuses new ones. A TCP reset caused on the network path can make one attempt look refused, so two consecutive refusals are required.
  *
  * <p>Thread-safe.
  */
 public final class CrashProbe {
-  /** Time before each attempt: an endpoint that ends closes its port at about the same time. */
+  /** Delay before each attempt: a crashing endpoint closes its connections and its port at about the same time. */
   private static final long PAUSE_MILLIS = 30;
 
   private static final int CONNECT_TIMEOUT_MILLIS = 300;
@@ -27,7 +25,7 @@
   private final NetClient client;
   private final Map<SocketAddress, Future<Boolean>> running = new ConcurrentHashMap<>();
 
-  /** Creates it; nothing is probed yet. */
+  /** Creates a probe with no checks in progress. */
   public CrashProbe(Vertx vertx) {
     this.vertx = vertx;
     this.client =
@@ -35,9 +33,9 @@
   }
 
   /**
-   * Asks once for all requests that broke off at the same time.
+   * Checks an endpoint, once for all requests whose connections were closed at the same time.
    *
-   * @return whether new connections are refused; false as well if that cannot be told
+   * @return whether it refuses new connections; false if that cannot be determined
    */
   public Future<Boolean> hasCrashed(SocketAddress address) {
     return running.computeIfAbsent(
@@ -63,7 +61,7 @@
                         : refuses(address, attempts - 1));
   }
 
-  /** Time-outs have the same type as refusals. */
+  /** Returns whether a connection was refused; timeouts have the same exception type. */
   private static boolean isRefusal(Throwable e) {
     return e instanceof ConnectException && String.valueOf(e.getMessage()).contains("refused");
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/DirectUpdateChannel.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/DirectUpdateChannel.java
@@ -5,23 +5,15 @@
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 
-/**
- * Each entry tells every other one. That is the soonest way and needs nobody else, but what it
- * costs an entry grows with the number of entries: it is for small fleets, and for a region from
- * which no control instance is in reach.
- */
+/** Sends an entry's updates directly to every other entry. This has the lowest latency and needs no control instance, but an entry's work grows with the number of entries: it is used in small fleets, and in a region from which no control instance is reachable. */
 final class DirectUpdateChannel implements UpdateChannel {
-  /** How often entries of a region tell each other their work: about one short prompt's reading. */
+  /** Interval at which the entries of a region exchange load reports, about the prefill time of a short prompt. */
   private static final long REPORT_MILLIS = 120;
 
-  /**
-   * Such reports that an entry sends in a second at most; it takes as many. At 20 neighbours that
-   * is one every 330 ms to each, where one every {@link #REPORT_MILLIS} would be 167 out and 167
-   * in.
-   */
+  /** Maximum number of such reports that an entry sends per second; it receives as many. With 20 neighbours that is one every 330 ms to each; one every {@link #REPORT_INTERVAL_MILLIS} would be 167 out and 167 in per second. */
   private static final int REPORTS_PER_SECOND = 60;
 
-  /** Entries of a region up to which {@link #REPORTS_PER_SECOND} does not slow the reports. */
+  /** Number of entries of a region up to which {@link #MAX_REPORTS_PER_SECOND} does not increase the report interval. */
   static final int MOST_ENTRIES = (int) (REPORTS_PER_SECOND * REPORT_MILLIS / 1_000) + 1;
 
   private final FleetSettings settings;
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
@@ -30,37 +30,35 @@
 import org.lacewingcroft.route.ServiceSpec;
 
 /**
- * What an entry of a fleet believes: the routing state, the endpoints with their load, the other
- * entries and the control instances. It reports to every control instance it knows, takes what they
- * push, and goes on with what it knows while none is in reach.
+ * An entry of a fleet with the state that it has received: the routing state, the endpoints with their load, the other entries and the control instances. It reports to every control instance it knows, applies their updates, and continues with its current state while none is reachable.
  *
- * <p>All state is owned by the event loop.
+ * <p>All state is confined to the event loop thread.
  */
 public final class EntryNode implements AutoCloseable {
   private static final System.Logger LOG = System.getLogger(EntryNode.class.getName());
 
-  /** How often an entry reports to the control instances. */
+  /** Interval at which an entry reports to the control instances. */
   private static final long REPORT_MILLIS = 500;
 
-  /** Of so many reports to the control instances gone by, one goes to the others as well. */
+  /** Each report with a number divisible by this goes to all control instances, the others only to those that the entry follows. */
   private static final int REPORTS_BETWEEN = 3;
 
-  /** Without any word of a control instance for this long, the seeds are tried again. */
+  /** Time without a reply from any control instance after which the entry also reports to the seed peers. */
   private static final Duration CONTROL_SILENCE = Duration.ofSeconds(2);
 
-  /** Pause before the routing state is asked for again. */
+  /** Minimum interval between two requests for the routing state. */
   private static final Duration REQUEST_PAUSE = Duration.ofMillis(400);
 
-  /** Added to a service's warm-up after an evacuation ends: the word of it takes a while. */
+  /** Added to a service's warm-up when an evacuation ends, to cover the delay of the routing update. */
   private static final Duration RETURN_SLACK = Duration.ofSeconds(1);
 
   /** Share of an endpoint's connections that all entries together use. */
   private static final double CONNECTION_SHARE = 0.8;
 
-  /** Share of the time in which a withdrawn key may be accepted that a proof of the state lasts. */
+  /** Length of the state lease, as a share of the time for which a revoked key may still be accepted. */
   private static final double LEASE_SHARE = 0.6;
 
-  /** Share of a cold endpoint's bound that entries use together. */
+  /** Share of a cold endpoint's rate bound that the entries use together. */
   private static final double COLD_SHARE = 0.5;
 
   private final FleetSettings settings;
@@ -98,7 +96,7 @@
   private boolean stopping;
   private boolean toldReady;
 
-  /** What is done about changes of endpoints. */
+  /** Logs endpoint changes and forwards crashes and recoveries to the quarantine. */
   private final class EndpointChanges implements TrackedEndpoints.Listener {
     @Override
     public void changed(EndpointRecord record, String cause) {
@@ -173,13 +171,13 @@
             bounds.extraSendRatio(), bounds.extraSendSlack(), bounds.extraSendWindow());
   }
 
-  /** The rest of the time is for control instances to notice that they are cut off themselves. */
+  /** Returns the length of the state lease. The rest of the revocation delay is left for control instances to detect that they are themselves disconnected. */
   private static Duration leaseOf(FleetBounds bounds) {
     long millis = bounds.revocationDelay().map(Duration::toMillis).orElse(0L);
     return Duration.ofMillis(Math.round(millis * LEASE_SHARE));
   }
 
-  /** Listens to peers and begins to report. */
+  /** Starts listening to peers and reporting. */
   public Future<Void> start() {
     vertx.setPeriodic(REPORT_MILLIS, id -> report());
     loads.start();
@@ -189,66 +187,67 @@
         .mapEmpty();
   }
 
-  /** Takes other seeds from changed settings. */
+  /** Replaces the seed peers after the settings have changed. */
   public void updateSeeds(List<String> peers) {
     seeds = List.copyOf(peers);
   }
 
-  /** Tells everybody that this entry takes no callers any more. */
+  /** Stops accepting requests and reports it to the control instances immediately. */
   public void beginShutdown() {
     stopping = true;
     report();
   }
 
-  /** Returns whether callers may be sent here. */
+  /** Returns whether callers may be directed to this entry. */
   public boolean ready() {
     return !stopping && routing.revision() > 0 && (rosterKnown || !endpoints.trackers().isEmpty());
   }
 
-  /**
-   * Returns whether this entry has just started and may not have heard of all endpoints yet, so
-   * that a request for which it knows none is worth a moment's wait.
-   */
+  /** Returns whether this entry has just started and may not have received all endpoints yet, so that a request for which it knows none is worth a short wait. */
   public boolean discoveringEndpoints() {
     return startedAt.plus(settings.endpointHeartbeat().multipliedBy(3)).isAfter(clock.instant());
   }
 
-  /** Returns whether this entry is about to stop. */
+  /** Returns whether this entry is shutting down. */
   public boolean isStopping() {
     return stopping;
   }
 
-  /** Returns what this entry routes by now. */
+  /** Returns the active routing state. */
   public RoutingView routing() {
     return routing;
   }
 
-  /** Returns the budget of sends beyond a request's first. */
+  /**
+   * Consumes one extra send from the budget of a service if there is one left. Extra sends are all sends of a request after the first.
+   *
+   * @return whether the extra send is allowed
+   */
   public boolean tryTakeExtraSend(String service) {
     return extraSends.tryTake(service, entries.size(), clock.instant());
   }
 
-  /** Counts a request sent for the first time. */
+  /** Records the first send of a request, which adds to the budget of extra sends. */
   public void recordFirstSend(String service) {
     extraSends.recordFirstSend(service, clock.instant());
   }
 
-  /** Returns the entries known, this one included while it takes callers. */
+  /** Returns the known entries, including this one while it accepts requests. */
   public List<EntryInfo> entries() {
     return entries;
   }
 
-  /** Returns the endpoints tracked, for metrics. */
+  /** Returns the tracked endpoints, for metrics. */
   public Collection<EndpointTracker> endpoints() {
     return endpoints.trackers();
   }
 
-  /** Returns what the messages to and from other instances cost, for metrics. */
+  /** Returns the cost of the messages to and from other instances, for metrics. */
   public PeerTraffic traffic() {
     return transport.traffic();
   }
 
-  /** Returns the contents that are not sent to endpoints any more. */
+  /** Returns the quarantine of request contents that are no longer sent to endpoints. */
   public RequestQuarantine quarantine() {
     return quarantine;
   }
@@ -258,12 +257,12 @@
     return quotas;
   }
 
-  /** Returns the other regions' loads. */
+  /** Returns the loads of the other regions. */
   public RegionLoads regionLoads() {
     return regionLoads;
   }
 
-  /** Returns the number that {@link FleetMessage.EntryReport} carries for a list of entries. */
+  /** Returns the digest of a list of entries that {@link FleetMessage.EntryReport} contains. */
   static int entriesDigest(List<EntryInfo> entries) {
     int digest = 0;
     for (EntryInfo entry : entries) {
@@ -273,12 +272,12 @@
   }
 
   /**
-   * Places a request.
+   * Selects an endpoint or a region for a request.
    *
    * @param request the request
-   * @param mayLeave whether it may go to another region
+   * @param allowOtherRegions whether it may run in another region
    * @param allowedRegions regions that may run it; empty for any
-   * @param passedOverRegions regions not to be tried again
+   * @param excludedRegions regions not to be tried again
    */
   public Placement place(
       PlacementRequest request,
@@ -307,7 +306,7 @@
         clock.instant());
   }
 
-  /** Endpoints that others may fetch KV cache from: sound ones where the request may be kept. */
+  /** Returns the endpoints from which KV cache may be fetched: healthy ones in regions where the request's data may be stored. */
   private List<EndpointTracker> prefixHolders(
       List<EndpointTracker> endpoints, Set<String> allowedRegions) {
     Instant now = clock.instant();
@@ -365,7 +364,7 @@
     return unreachable.prefer(entriesOf(region), clock.instant());
   }
 
-  /** Returns the entries of other regions to which this one keeps connections. */
+  /** Returns the entries of other regions to which this one keeps connections open. */
   public List<EntryInfo> relayPartners() {
     return settings.regionByDomain().values().stream()
         .distinct()
@@ -379,15 +378,12 @@
     return self.name();
   }
 
-  /** Notes a request relayed to another region. */
+  /** Records a request relayed to another region. */
   public void requestRelayed(String region, PlacementRequest request) {
     regionLoads.recordRelayed(region, request, entriesOf(settings.region()).size());
   }
 
-  /**
-   * Notes that an entry of another region could not be connected to. Once that holds for all the
-   * partners there, the region is out of reach, and no request waits to find it out anew.
-   */
+  /** Records that connecting to an entry of another region failed. After this has happened for all relay partners there, the region is unreachable and no request waits for another connect timeout. */
   public void entryUnreachable(EntryInfo entry) {
     Instant now = clock.instant();
     unreachable.failed(entry, now);
@@ -425,7 +421,7 @@
     tellRegions();
   }
 
-  /** The control instances, and the seeds while none of those answers. */
+  /** Returns the known control instances, and also the seed peers while none of them replies. */
   private Set<String> knownControls(Instant now) {
     Set<String> known = new TreeSet<>(controls);
     if (controls.isEmpty() || contacts.allSilentFor(CONTROL_SILENCE, now)) {
@@ -434,7 +430,7 @@
     return known;
   }
 
-  /** The control instances of this region, which tell the others; all while none is in touch. */
+  /** Returns the control instances of this region, which forward messages to the others; all of them while none of this region is connected to a majority. */
   private Set<String> nearControls() {
     Instant now = clock.instant();
     return contacts.relied(knownControls(now), now);
@@ -444,10 +440,7 @@
     return new StateLease.Clocks(clock.instant(), wallClock.instant());
   }
 
-  /**
-   * Returns whether callers' keys may be accepted. An entry that no control instance reaches does
-   * not hear of keys that are withdrawn.
-   */
+  /** Returns whether callers' API keys may be accepted. An entry that is disconnected from the control instances does not receive key revocations. */
   public boolean canVerifyApiKeys() {
     return settings.bounds().revocationDelay().isEmpty() || lease.isValid(clocks());
   }
@@ -507,7 +500,7 @@
     quotas.applyFleetUsage(digest.news().quotaUsage(), clock.instant());
   }
 
-  /** Entries of large fleets tell each other through an aggregator while one is in reach. */
+  /** Returns the channel for updates. In large fleets the entries exchange updates through an aggregator while one is reachable. */
   private UpdateChannel newsChannel() {
     Optional<String> aggregator =
         largeFleet ? aggregators.current(clock.instant()) : Optional.empty();
@@ -517,15 +510,12 @@
           System.Logger.Level.INFO,
           "news.channel_changed",
           "aggregator",
-          aggregator.orElse("none, entries tell each other"));
+          aggregator.orElse("none, entries exchange updates directly"));
     }
     return aggregator.isPresent() ? aggregated : direct;
   }
 
-  /**
-   * Returns whether a region has so many entries that each telling each other is too dear. All
-   * entries know about the same ones, so that they agree on it.
-   */
+  /** Returns whether a region has so many entries that direct exchange between them is too expensive. All entries have about the same list of entries and so come to the same result. */
   private static boolean isLarge(List<EntryInfo> entries) {
     Map<String, Integer> sizes = new HashMap<>();
     entries.forEach(e -> sizes.merge(e.region(), 1, Integer::sum));
@@ -589,7 +579,7 @@
     }
   }
 
-  /** Endpoints of a failure domain that is taken back may have turned cold in the meantime. */
+  /** Marks the endpoints of failure domains that are no longer evacuated as cold, since they may have become cold during the evacuation. */
   private void returned(Set<String> evacuatedBefore) {
     Set<String> back = new HashSet<>(evacuatedBefore);
     back.removeAll(routing.evacuatedDomains());
@@ -630,7 +620,7 @@
     }
   }
 
-  /** Reports at once when this entry has become ready, so that callers are sent here again. */
+  /** Reports immediately when this entry has become ready, so that callers are directed to it again. */
   private void reportReady() {
     if (!toldReady && ready()) {
       toldReady = true;
@@ -638,18 +628,17 @@
     }
   }
 
-  /** Notes that a request has been sent to an endpoint of this region. */
+  /** Records that a request was sent to an endpoint of this region. */
   public void requestSent(EndpointTracker tracker, long uncachedTokens) {
     loads.begun(tracker, uncachedTokens);
   }
 
   /**
-   * Takes what an answer states of the rate that its endpoint takes; the others of the region hear
-   * of a change at once.
+   * Records the rate limit that a response advertises for its endpoint; a change is reported to the other entries of the region immediately.
    *
-   * @param perSecond requests a second, empty if the answer states none
-   * @param sentAt when the answer's request was sent
-   * @param status the answer's status, for the log
+   * @param perSecond requests per second, empty if the response advertises no limit
+   * @param sentAt when the request was sent
+   * @param status the response status, for the log
    */
   public void rateLimitAdvertised(
       EndpointTracker tracker, OptionalDouble perSecond, Instant sentAt, int status) {
@@ -659,14 +648,14 @@
     }
   }
 
-  /** Takes an endpoint's word that it leaves, which may be here before the control instances'. */
+  /** Records that an endpoint announces in a response that it is draining, which may arrive before the update from the control instances. */
   public void drainAdvertised(EndpointTracker tracker) {
     if (tracker.conditions().markDraining()) {
-      RosterLog.changed(tracker.record().withState(EndpointState.DRAINING), "its answer");
+      RosterLog.changed(tracker.record().withState(EndpointState.DRAINING), "endpoint response");
     }
   }
 
-  /** Takes an endpoint's wish to get nothing from this entry for a while. */
+  /** Records an endpoint's request to receive nothing from this entry for some time. */
   public void pauseRequested(EndpointTracker tracker, Duration pause) {
     Instant now = clock.instant();
     boolean inPause = !tracker.conditions().remainingPause(now).isZero();
@@ -682,7 +671,7 @@
         inPause);
   }
 
-  /** Notes that an endpoint has read a prompt, and tells the other entries what others share. */
+  /** Records that an endpoint has prefilled a prompt, and reports the shared prefix to the other entries. */
   public void prefixRead(EndpointTracker tracker, PlacementRequest request) {
     prefixes.read(tracker, request);
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryShutdown.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryShutdown.java
@@ -7,18 +7,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntSupplier;
 
-/**
- * The graceful stop of an entry: it says at once that it takes no callers any more, serves those
- * that have not heard of it, and ends when their directory answers have run out and nothing is in
- * flight, or shortly before it would be killed.
- */
+/** The graceful shutdown of an entry: it immediately reports that it no longer accepts requests, still serves callers whose directory response lists it, and finishes when those responses have expired and no request is in flight, or shortly before the process would be killed. */
 public final class EntryShutdown {
   private static final System.Logger LOG = System.getLogger(EntryShutdown.class.getName());
 
-  /** How long callers may still come: three validities of a directory answer, plus its delay. */
+  /** Time for which callers may still send requests: three times the TTL of a directory response, plus its delay. */
   private static final Duration LINGER = Duration.ofMillis(4_200);
 
-  /** Kept free before the kill: the last answers, the last log lines and the exit need it. */
+  /** Reserved before the kill for the last responses, the last log lines and the process exit. */
   private static final Duration KILL_MARGIN = Duration.ofMillis(900);
 
   private static final long CHECK_MILLIS = 50;
@@ -29,12 +25,12 @@
   private final Duration grace;
 
   /**
-   * Prepares a stop.
+   * Prepares a shutdown.
    *
    * @param vertx the Vert.x instance
    * @param node the entry
-   * @param inFlight counts the requests under way
-   * @param grace how long until the kill
+   * @param inFlight returns the number of requests in flight
+   * @param shutdownGrace time until the process is killed
    */
   public EntryShutdown(Vertx vertx, EntryNode node, IntSupplier inFlight, Duration grace) {
     this.vertx = vertx;
@@ -43,7 +39,7 @@
     this.grace = grace;
   }
 
-  /** Begins the stop; the future completes when the process may end. */
+  /** Starts the shutdown; the future completes when the process may exit. */
   public Future<Void> run() {
     node.beginShutdown();
     Promise<Void> done = Promise.promise();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetBounds.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetBounds.java
@@ -4,17 +4,16 @@
 import java.util.Optional;
 
 /**
- * What the deployment promises its users, as its settings state it.
+ * The bounds that a deployment guarantees to its users, as configured.
  *
- * @param shutdownGrace between the request to stop and the kill
- * @param directoryTtlMax the longest validity of a directory answer that callers heed
- * @param extraSendRatio sends beyond the first that all entries together may make for each request
- * @param extraSendSlack such sends allowed besides
- * @param extraSendWindow the span in which they are counted
- * @param warmupOvershoot factor on a cold endpoint's rate that is tolerated
- * @param warmupSlack requests a second that are tolerated besides
- * @param revocationDelay time after which a key that was withdrawn is accepted nowhere any more,
- *     not even by entries that no control instance reaches; empty if those may go on
+ * @param shutdownGrace time between the request to shut down and the kill
+ * @param directoryTtlMax the longest TTL of a directory response that callers honour
+ * @param extraSendRatio extra sends that all entries together may make per request
+ * @param extraSendSlack extra sends allowed in addition, independent of the number of requests
+ * @param extraSendWindow the time window in which they are counted
+ * @param warmupOvershoot tolerated factor on a cold endpoint's rate
+ * @param warmupSlack requests per second tolerated in addition
+ * @param revocationDelay time after which a revoked key is accepted nowhere, not even by entries that are disconnected from the control instances; empty if such entries may continue to accept keys
  */
 public record FleetBounds(
     Duration shutdownGrace,
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetSettings.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetSettings.java
@@ -12,19 +12,19 @@
  * The settings of one instance of a fleet, of either role.
  *
  * @param nodeName the instance's name
- * @param ip the address that others reach it at
+ * @param ip the address at which other instances reach it
  * @param region its region
  * @param failureDomain its failure domain
  * @param regionByDomain the region of each failure domain of the deployment
  * @param peerPort the port of the peer transport, the same on all instances
- * @param relayPort the port at which entries take requests from each other
+ * @param relayPort the port at which entries accept relayed requests from each other
  * @param seedPeers peer addresses of some control instances
- * @param dataDir the data folder, of control instances
+ * @param dataDir the data folder, present for control instances
  * @param firstStart whether the deployment starts for the first time
- * @param toleratedFailures how many control instances may be lost at once
- * @param endpointHeartbeat how often endpoints announce themselves
- * @param bounds what the deployment promises
- * @param disabledMechanisms parts of the placement that are switched off
+ * @param toleratedFailures number of control instances that may fail at the same time
+ * @param endpointHeartbeat interval at which endpoints announce themselves
+ * @param bounds the bounds that the deployment guarantees
+ * @param disabledMechanisms placement mechanisms that are disabled
  * @param secret the shared secret of the peer transport
  */
 public record FleetSettings(
@@ -44,7 +44,7 @@
     Set<PlacementMechanism> disabledMechanisms,
     byte[] secret) {
 
-  /** Copies the collections so the settings are immutable. */
+  /** Copies the collections and the secret so that the settings are immutable. */
   public FleetSettings {
     regionByDomain = Map.copyOf(regionByDomain);
     seedPeers = List.copyOf(seedPeers);
@@ -57,7 +57,7 @@
     return ip + ":" + peerPort;
   }
 
-  /** Returns this instance's address for requests of other entries. */
+  /** Returns this instance's address for requests relayed by other entries. */
   public String relayAddress() {
     return ip + ":" + relayPort;
   }
@@ -67,7 +67,7 @@
     return regionOf(domain).filter(region::equals).isPresent();
   }
 
-  /** Returns the region of a failure domain, if the deployment names it. */
+  /** Returns the region of a failure domain, if the deployment lists it. */
   public Optional<String> regionOf(String domain) {
     return Optional.ofNullable(regionByDomain.get(domain));
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetTransport.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetTransport.java
@@ -12,11 +12,11 @@
 import org.lacewingcroft.peer.PeerTraffic;
 import org.lacewingcroft.peer.PeerTransport;
 
-/** The peer transport as the instances of a fleet use it; handlers run on the given context. */
+/** The peer transport as used by the instances of a fleet; message handlers run on the given context. */
 final class FleetTransport implements AutoCloseable {
   private static final System.Logger LOG = System.getLogger(FleetTransport.class.getName());
 
-  /** Pause between two accounts of the traffic in the log. */
+  /** Interval at which the traffic totals are logged. */
   private static final long ACCOUNT_MILLIS = 15_000;
 
   private static final long NANOS_PER_MICRO = 1_000;
@@ -52,12 +52,12 @@
     transport.traffic().handled(fleet, System.nanoTime() - begunNanos);
   }
 
-  /** Returns what the messages cost by kind. */
+  /** Returns the traffic and processing time by message kind. */
   PeerTraffic traffic() {
     return transport.traffic();
   }
 
-  /** Logs what the messages have cost since the start, from time to time. */
+  /** Logs the traffic and processing time since the start, by message kind. */
   private void logTraffic() {
     traffic()
         .totals()
@@ -85,7 +85,7 @@
     sendOnContext(peerAddress, new PeerMessage.Fleet(message));
   }
 
-  /** Sends a message of the control group. */
+  /** Sends a message of the control group; may be called from any thread. */
   void send(String peerAddress, ConsensusMessage message) {
     sendOnContext(peerAddress, new PeerMessage.Consensus(settings.peerAddress(), message));
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LeavingConfirmations.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LeavingConfirmations.java
@@ -12,13 +12,12 @@
 import java.util.TreeSet;
 
 /**
- * Makes a majority of the control group know that an endpoint leaves before it is told that it may:
- * the instance that took its word may be lost the moment after, and the endpoint says it once.
+ * Replicates an endpoint's draining or deregistration to a majority of the control group before it is acknowledged to the endpoint: the endpoint sends it only once, and the instance that received it may be lost directly afterwards.
  *
- * <p>Owned by the event loop.
+ * <p>Confined to the event loop thread.
  */
 final class LeavingConfirmations {
-  /** How long the majority may take: endpoints try another instance after a second. */
+  /** Time allowed for the majority to confirm; an endpoint tries another instance after a second. */
   private static final Duration PATIENCE = Duration.ofMillis(750);
 
   private final Vertx vertx;
@@ -45,7 +44,11 @@
     this.transport = transport;
   }
 
-  /** Tells the members; the future tells whether a majority of them has confirmed it in time. */
+  /**
+   * Sends a record to the members.
+   *
+   * @return whether a majority of them confirmed it within the timeout
+   */
   Future<Boolean> confirm(EndpointRecord record, Set<String> members) {
     String key = record.id() + '/' + record.startedAtMillis() + '/' + record.state();
     int needed = MajorityCount.othersNeeded(members, self);
@@ -76,7 +79,7 @@
     }
   }
 
-  /** Takes a member's confirmation. */
+  /** Records a member's confirmation. */
   void acknowledged(FleetMessage.RosterAck ack) {
     Pending waiting = pending.get(ack.callId());
     if (waiting == null || !waiting.missing.remove(ack.from())) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LoadExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LoadExchange.java
@@ -19,20 +19,15 @@
 import org.lacewingcroft.placement.EndpointTracker;
 
 /**
- * What an entry tells others of load, and takes from them: the entries of its region tell each
- * other their work at each endpoint, so that none of them fills one that another is filling; two of
- * them tell the other regions how long the waits are. What callers use of quotas goes along.
+ * Exchanges load reports with other entries. The entries of a region report their load at each endpoint to each other, so that none fills an endpoint that another is already filling; two of them report the expected waits to the other regions. Quota usage is sent along.
  *
- * <p>Owned by the event loop.
+ * <p>Confined to the event loop thread.
  */
 final class LoadExchange {
-  /** A prompt told of at once: reading it takes about half the pause between two reports. */
+  /** Number of tokens from which a prompt is reported immediately: its prefill takes about half the interval between two reports. */
   private static final long LONG_PROMPT_TOKENS = 5_000;
 
-  /**
-   * Entries that tell the other regions, the first by name: with one, its loss would leave the
-   * region unheard of until the list of entries drops it, longer than its last word is believed.
-   */
+  /** Number of entries, the first by name, that report to the other regions. With only one, its loss would leave the region without reports until the list of entries drops it, which is longer than its last report is used. */
   private static final int REGION_SPEAKERS = 2;
 
   private final Vertx vertx;
@@ -44,7 +39,7 @@
   private final Supplier<UpdateChannel> channel;
   private final FleetQuotas quotas;
 
-  /** The endpoints at which each other entry has said that it has work. */
+  /** The endpoints at which each other entry has reported load. */
   private final Map<String, Set<String>> namedBy = new HashMap<>();
 
   private boolean toldWork;
@@ -68,7 +63,7 @@
     this.quotas = quotas;
   }
 
-  /** Begins to report to the region's other entries. */
+  /** Starts reporting to the other entries of the region. */
   void start() {
     report();
   }
@@ -100,7 +95,7 @@
         tracker.rateLimit().report(now));
   }
 
-  /** Tells the others at once that an endpoint states another rate than before. */
+  /** Reports immediately that an endpoint advertises a different rate limit than before. */
   void rateStated(EndpointTracker tracker) {
     tellWork(tracker);
   }
@@ -110,17 +105,14 @@
     channel.get().work(new FleetMessage.LoadReport(self.name(), false, List.of(work)), true);
   }
 
-  /**
-   * Notes that a request has been sent to an endpoint. The others hear at once of a prompt that
-   * keeps the endpoint busy for longer than the pause between two reports would hide.
-   */
+  /** Records that a request was sent to an endpoint. A prompt whose prefill keeps the endpoint busy for longer than the report interval would hide is reported immediately. */
   void begun(EndpointTracker tracker, long uncachedTokens) {
     if (uncachedTokens >= LONG_PROMPT_TOKENS) {
       tellWork(tracker);
     }
   }
 
-  /** Takes another entry's report. */
+  /** Applies another entry's load report. */
   void heard(FleetMessage.LoadReport report) {
     if (report.from().equals(self.name())) {
       return;
@@ -161,10 +153,10 @@
   }
 
   /**
-   * Tells the other regions how loaded this one is, if this entry is to speak for it.
+   * Reports this region's load to the other regions, if this entry is one of the region's reporters.
    *
-   * @param regionEntries the names of the region's entries in order, this one included
-   * @param evacuatedDomains failure domains whose endpoints get no work
+   * @param regionEntries the names of the region's entries in order, including this one
+   * @param evacuatedDomains failure domains whose endpoints receive no requests
    */
   void tellRegions(List<String> regionEntries, Set<String> evacuatedDomains) {
     if (regionEntries.indexOf(self.name()) >= REGION_SPEAKERS) {
@@ -190,7 +182,7 @@
     channel.get().regionLoad(new FleetMessage.RegionLoad(settings.region(), services));
   }
 
-  /** Endpoints that state a limit have room for this region's own callers at most. */
+  /** Returns the endpoints without a rate limit, or all of them if each has one. An endpoint with a rate limit has at most room for callers of its own region. */
   private static List<EndpointTracker> withoutLimitIfAny(List<EndpointTracker> open) {
     List<EndpointTracker> unlimited =
         open.stream().filter(t -> t.rateLimit().perSecond().isEmpty()).toList();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/OrderRelay.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/OrderRelay.java
@@ -17,21 +17,17 @@
 import org.lacewingcroft.fleet.FleetMessage.ControlOrder;
 import org.lacewingcroft.metrics.GatewayMetrics;
 
-/**
- * Carries operators' orders and reads to the leader of the control group, from whichever instance
- * they reached. An order is idempotent, so that it may be passed on again while its outcome is not
- * known; a read is answered only by a leader that has just proved that it leads.
- */
+/** Forwards operator orders and reads from the instance that received them to the leader of the control group. Orders are idempotent, so an order is sent again while its outcome is unknown. A read is answered only by a leader that has just confirmed its leadership. */
 public final class OrderRelay {
   private static final System.Logger LOG = System.getLogger(OrderRelay.class.getName());
 
-  /** How long an order may take here: operators move on to another instance after a second. */
+  /** Maximum time for an order at this instance; operators try another instance after a second. */
   private static final Duration PATIENCE = Duration.ofMillis(930);
 
-  /** How long one try with one leader may take: some round trips and slow syncs. */
+  /** Timeout of one attempt with one leader: some round trips and slow disk syncs. */
   private static final Duration TRY_PATIENCE = Duration.ofMillis(600);
 
-  /** Pause before another try, when no leader is known or it did not answer. */
+  /** Delay before the next attempt if no leader is known or the leader did not reply. */
   private static final long RETRY_MILLIS = 60;
 
   private final Context context;
@@ -44,11 +40,11 @@
   private long nextCallId = 1;
 
   /**
-   * What became of an order.
+   * The outcome of an order.
    *
-   * @param committed whether it is committed; otherwise nobody knows yet
-   * @param version for a read the operator's version in force
-   * @param document for a read its document
+   * @param committed whether the order is committed; otherwise its outcome is unknown
+   * @param version for a read, the operator's version of the active document
+   * @param document for a read, that document
    */
   public record Outcome(boolean committed, long version, String document) {
     static final Outcome UNKNOWN = new Outcome(false, 0, "");
@@ -65,7 +61,7 @@
       };
     }
 
-    /** Whether it has the effect it was given for; an evacuation's may have been overtaken. */
+    /** Returns whether the order is in effect in a routing state; a committed evacuation may have been superseded. */
     boolean inForce(RoutingState state) {
       return switch (kind) {
         case ROUTE -> state.version() >= version;
@@ -94,7 +90,7 @@
     this.transport = transport;
   }
 
-  /** Puts a checked routing document in force. */
+  /** Activates a validated routing document. */
   public Future<Outcome> route(long version, String document) {
     return order(ControlOrder.ROUTE, version, document);
   }
@@ -203,7 +199,7 @@
     return promise.future();
   }
 
-  /** Serves an order that another instance passed on. */
+  /** Executes an order that another instance forwarded, and replies to that instance. */
   void called(FleetMessage.ControlCall call) {
     Order order = new Order(call.order(), call.version(), call.text(), call.baseRevision(), 0);
     submitHere(order, TRY_PATIENCE.toMillis())
@@ -215,7 +211,7 @@
                         call.callId(), o.committed(), o.version(), o.document())));
   }
 
-  /** Takes the leader's reply. */
+  /** Completes the order that a leader's reply belongs to. */
   void replied(FleetMessage.ControlReply reply) {
     Promise<Outcome> promise = calls.remove(reply.callId());
     if (promise != null) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PendingCrashProbes.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PendingCrashProbes.java
@@ -7,22 +7,20 @@
 import org.lacewingcroft.request.RequestFingerprint;
 
 /**
- * The contents under which an endpoint broke off a moment ago, while it is not known whether it has
- * ended. They wait for it: callers that ask for the same again at once would otherwise end one
- * endpoint after the other before the first end is confirmed.
+ * Request contents whose connection to an endpoint was lost recently, while the crash probe of the endpoint is in progress. Requests with the same content wait for the result: if callers retried immediately, the content could crash one endpoint after the other before the first crash is confirmed.
  *
  * <p>Thread-safe.
  */
 public final class PendingCrashProbes {
   private final Map<RequestFingerprint, Future<Boolean>> byContent = new ConcurrentHashMap<>();
 
-  /** Has a content wait until a verdict is there. */
+  /** Adds a content that waits for the result of a crash probe. */
   public void add(RequestFingerprint content, Future<Boolean> verdict) {
     byContent.put(content, verdict);
     verdict.onComplete(known -> byContent.remove(content, verdict));
   }
 
-  /** Returns what a content waits for. */
+  /** Returns the probe result that a content waits for, if any. */
   public Optional<Future<Boolean>> get(RequestFingerprint content) {
     return Optional.ofNullable(byContent.get(content)).filter(verdict -> !verdict.isComplete());
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixExchange.java
@@ -21,19 +21,17 @@
 import org.lacewingcroft.route.ServiceSpec;
 
 /**
- * Which beginnings of prompts the endpoints hold: entries tell each other, in all regions, what an
- * endpoint has read, and an entry that has just started asks the endpoints themselves. From this
- * follows where a prompt is placed and from where its beginning is fetched.
+ * Tracks which prompt prefixes the endpoints cache: entries of all regions report prefilled prefixes to each other, and an entry that has just started requests the list from the endpoints themselves. Placement uses it to select an endpoint for a prompt and the endpoint from which to fetch its prefix.
  *
- * <p>Owned by the event loop.
+ * <p>Confined to the event loop thread.
  */
 final class PrefixExchange {
   private static final System.Logger LOG = System.getLogger(PrefixExchange.class.getName());
 
-  /** A shared beginning that entries tell each other of: shorter ones are read as fast as told. */
+  /** Minimum length of a shared prefix that entries report to each other; a shorter one is prefilled as fast as it is reported. */
   private static final long TOLD_PREFIX_TOKENS = 400;
 
-  /** Pause in which a prefix at one endpoint is told of once: it shows that it is still in use. */
+  /** Interval in which a prefix at one endpoint is reported at most once; the repeated report shows that it is still in use. */
   private static final Duration PREFIX_PAUSE = Duration.ofSeconds(3);
 
   private final FleetSettings settings;
@@ -63,10 +61,7 @@
     this.engineOfService = engineOfService;
   }
 
-  /**
-   * Notes that an endpoint has read a prompt. All entries hear of a long beginning that others
-   * share, unless one of them has told of it a moment ago.
-   */
+  /** Records that an endpoint has prefilled a prompt. A long shared prefix is reported to all entries unless one of them has reported it recently. */
   void read(EndpointTracker tracker, PlacementRequest request) {
     if (request.sharedTokens() < TOLD_PREFIX_TOKENS) {
       return;
@@ -81,7 +76,7 @@
     }
   }
 
-  /** Takes another entry's word of a prompt that was read. */
+  /** Applies another entry's report of a prefilled prefix. */
   void heard(FleetMessage.PrefixRead read) {
     List<PromptPart> parts =
         read.parts().stream().map(p -> new PromptPart(p.id(), p.tokens())).toList();
@@ -95,7 +90,7 @@
     return toldAt.putIfAbsent(endpoint + '|' + prefix, now) == null;
   }
 
-  /** Drops what was told long ago; the oldest come first, since none is put in again before. */
+  /** Evicts reports older than the interval. The map is in insertion order and no key is inserted again before it is evicted, so the oldest come first. */
   private void forgetOld(Instant now) {
     Iterator<Instant> oldest = toldAt.values().iterator();
     while (oldest.hasNext() && !oldest.next().plus(PREFIX_PAUSE).isAfter(now)) {
@@ -103,12 +98,7 @@
     }
   }
 
-  /**
-   * Asks the region's endpoints what they hold, each once. After all entries were killed at once
-   * the endpoints still hold every prefix, and entries that do not know it take each request for a
-   * long read: of 35 long prompts in the first two seconds 30 were placed so, and 41 requests
-   * turned away.
-   */
+  /** Requests the list of cached prefixes from each endpoint of the region, once per endpoint. After all entries crash at the same time, the endpoints still cache every prefix, and an entry that does not know them assumes a long prefill for each request: of 35 long prompts in the first two seconds, 30 were placed on that assumption, and 41 requests were rejected. */
   void askEndpoints() {
     if (!settings.disabledMechanisms().contains(PlacementMechanism.PREFIX_LISTING)) {
       trackers.get().stream().filter(this::asks).forEach(this::ask);
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixListing.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixListing.java
@@ -4,13 +4,13 @@
 import java.util.List;
 import org.lacewingcroft.placement.PromptPart;
 
-/** Asks an endpoint which parts of prompts its KV cache holds. */
+/** Lists the prompt parts that an endpoint's KV cache holds. */
 public interface PrefixListing {
   /**
-   * Asks one endpoint.
+   * Requests the list from one endpoint.
    *
-   * @param address where it listens, {@code ip:port}
-   * @return the parts, in any order; fails if it does not answer
+   * @param address its listen address, {@code ip:port}
+   * @return the parts, in any order; fails if the endpoint does not respond
    */
   Future<List<PromptPart>> list(String address);
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/QuarantineLog.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/QuarantineLog.java
@@ -2,17 +2,17 @@
 
 import org.lacewingcroft.quarantine.Suspicion;
 
-/** The log lines that every instance writes about contents that are quarantined. */
+/** Writes the log lines of all instances about quarantined request contents. */
 public final class QuarantineLog {
   private static final System.Logger LOG = System.getLogger(QuarantineLog.class.getName());
 
   private QuarantineLog() {}
 
   /**
-   * Writes a line if the content is quarantined or cleared by what was learned.
+   * Logs that the content is quarantined or cleared by the given evidence.
    *
-   * @param suspicion what is known of the content now
-   * @param cause the instance that told of it, or what was observed here
+   * @param suspicion the merged evidence on the content
+   * @param cause the instance that sent it, or what was observed locally
    */
   public static void logChange(Suspicion suspicion, String cause) {
     if (suspicion.isQuarantined()) {
@@ -38,7 +38,7 @@
     }
   }
 
-  /** Writes that a quarantined content is run once more. */
+  /** Logs that a quarantined content is run again as a trial. */
   public static void logTrial(Suspicion suspicion) {
     LOG.log(
         System.Logger.Level.INFO,
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
@@ -22,18 +22,15 @@
 import org.lacewingcroft.request.RequestFingerprint;
 
 /**
- * The contents that an entry does not send to endpoints any more, because they end the endpoints
- * that run them. The entry tells the control instances under which contents endpoints broke off,
- * again until one of them has confirmed it, and hears from them which are quarantined; what it has
- * seen by itself counts at once.
+ * The request contents that an entry does not send to endpoints because they crash the endpoints that run them. The entry reports to the control instances which contents were running when endpoints crashed, repeating a report until one of them has confirmed it, and receives from them which contents are quarantined; its own observations apply immediately.
  *
- * <p>Owned by the event loop.
+ * <p>Confined to the event loop thread.
  */
 public final class RequestQuarantine {
-  /** An endpoint that ends breaks off all that it runs; it is told in one message. */
+  /** Delay in which suspicions are batched: an endpoint that crashes closes the connections of all its requests at the same time, and they are reported in one message. */
   private static final long GATHER_MILLIS = 5;
 
-  /** Messages kept until they are confirmed. */
+  /** Maximum number of messages retained until they are confirmed. */
   private static final int MOST_UNCONFIRMED = 64;
 
   private final Vertx vertx;
@@ -53,7 +50,7 @@
   private final Map<Long, Told> unconfirmed = BoundedMap.evictingOldest(MOST_UNCONFIRMED);
   private long nextCallId = 1;
 
-  /** What was gathered until an instant; told again later, its ends are older by then. */
+  /** A batch of suspicions and the instant to which their ages refer; a later resend has to increase the ages by the time since then. */
   private record Told(List<Suspicion> suspicions, Instant gatheredAt) {
     private List<Suspicion> at(Instant now) {
       Duration since = Duration.between(gatheredAt, now);
@@ -62,12 +59,12 @@
   }
 
   /**
-   * Creates it with nothing quarantined.
+   * Creates an empty quarantine.
    *
    * @param name the entry's name
-   * @param self its address
-   * @param controls the control instances that the entry goes by now
-   * @param entries the names of all entries
+   * @param self its peer address
+   * @param controls returns the control instances that the entry follows
+   * @param entries returns the names of all entries
    */
   RequestQuarantine(
       Vertx vertx,
@@ -87,10 +84,7 @@
     this.probe = new CrashProbe(vertx);
   }
 
-  /**
-   * Returns how long a content is still quarantined, empty if it may run. Once in a while a
-   * quarantined one may.
-   */
+  /** Returns how long a content remains quarantined, or empty if it may run. Now and then a quarantined content is allowed to run as a trial. */
   public Optional<Duration> remainingQuarantine(RequestFingerprint content) {
     Instant now = clock.instant();
     Optional<Suspicion> known = ledger.quarantined(content, now);
@@ -104,12 +98,12 @@
     return ledger.remainingQuarantine(content, now);
   }
 
-  /** Returns how many contents are quarantined. */
+  /** Returns the number of quarantined contents. */
   public int size() {
     return ledger.quarantined(clock.instant()).size();
   }
 
-  /** Notes that an endpoint has answered a content in full. */
+  /** Records that an endpoint has completed a response to a content. */
   public void completed(RequestFingerprint content) {
     Instant now = clock.instant();
     completions.record(content, now);
@@ -118,10 +112,7 @@
     }
   }
 
-  /**
-   * Notes that an endpoint closed the connection on which it had a content to run. That speaks
-   * against the content once it turns out that the endpoint has ended.
-   */
+  /** Records that an endpoint closed the connection on which it was running a content. This counts as evidence against the content only if the endpoint turns out to have crashed. */
   public void connectionLost(EndpointTracker endpoint, RequestFingerprint content) {
     unanswered(endpoint.record(), content, UnansweredRuns.Kind.BROKEN_OFF);
     Future<Boolean> verdict =
@@ -136,12 +127,12 @@
     pending.add(content, verdict);
   }
 
-  /** Returns what a content has to wait for before it may be run. */
+  /** Returns the crash probe result that a content must wait for before it may run. */
   public Optional<Future<Boolean>> pendingCrashProbe(RequestFingerprint content) {
     return pending.get(content);
   }
 
-  /** Notes that this entry stopped waiting for an endpoint's answer to a content. */
+  /** Records that this entry stopped waiting for an endpoint's response to a content. */
   public void abandoned(EndpointRecord endpoint, RequestFingerprint content) {
     unanswered(endpoint, content, UnansweredRuns.Kind.GIVEN_UP);
   }
@@ -154,10 +145,9 @@
   }
 
   /**
-   * Notes that an endpoint has ended: it refuses connections, was replaced, or does not announce
-   * itself any more.
+   * Records that an endpoint has crashed: it refuses connections, was replaced, or no longer announces itself.
    *
-   * @param lastByteAt when this entry last had a byte of it
+   * @param lastByteAt when this entry last received a byte from it
    */
   void ended(EndpointRecord endpoint, Instant lastByteAt) {
     unanswered
@@ -165,7 +155,7 @@
         .forEach(this::suspect);
   }
 
-  /** Notes that an endpoint that was taken for lost is back, as the same incarnation. */
+  /** Records that an endpoint that was presumed lost has recovered, as the same incarnation. */
   void returned(EndpointRecord endpoint) {
     unanswered.endpointRecovered(endpoint.incarnationId());
     ledger.retractCrash(endpoint.incarnationId(), clock.instant());
@@ -177,7 +167,7 @@
     }
   }
 
-  /** Takes what this entry has seen, and tells it. */
+  /** Applies a local observation and schedules its report. */
   private void learn(Suspicion suspicion) {
     ledger
         .merge(suspicion, clock.instant())
@@ -200,7 +190,7 @@
     transport.sendAll(controls.get(), new FleetMessage.SuspicionUpdate(self, callId, suspicions));
   }
 
-  /** Tells again what no control instance has confirmed, and forgets what is too old. */
+  /** Resends the reports that no control instance has confirmed, and removes expired evidence. */
   void repeat() {
     Instant now = clock.instant();
     ledger.expire(now);
@@ -208,10 +198,7 @@
     List.copyOf(unconfirmed.keySet()).forEach(this::send);
   }
 
-  /**
-   * Takes what a control instance tells. What an endpoint has answered for this entry a moment ago
-   * does not end whatever runs it; those that suspect it cannot know.
-   */
+  /** Applies suspicions from a control instance. A content that an endpoint has recently completed for this entry does not crash every endpoint that runs it, and the instances that suspect it cannot know this; such a content is reported as cleared. */
   void heard(FleetMessage.SuspicionUpdate update) {
     Instant now = clock.instant();
     for (Suspicion suspicion : update.suspicions()) {
@@ -226,7 +213,7 @@
     }
   }
 
-  /** Takes a control instance's confirmation. */
+  /** Removes a report that a control instance has confirmed. */
   void confirmed(FleetMessage.SuspicionAck ack) {
     unconfirmed.remove(ack.callId());
   }
@@ -236,7 +223,7 @@
     return ledger.quarantinedDigest();
   }
 
-  /** Gives a control instance back what it has lost by a restart. */
+  /** Sends the quarantined contents to a control instance whose digest differs, for example because it lost them in a restart. */
   void compare(FleetMessage.ControlPulse pulse) {
     if (pulse.quarantineDigest() == digest()) {
       return;
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RosterLog.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RosterLog.java
@@ -2,17 +2,17 @@
 
 import java.util.OptionalDouble;
 
-/** The log lines that every instance writes when what it believes of an endpoint changes. */
+/** Writes the log lines of all instances about changes of endpoint state. */
 final class RosterLog {
   private static final System.Logger LOG = System.getLogger(RosterLog.class.getName());
 
   private RosterLog() {}
 
   /**
-   * Writes that an endpoint takes another rate of requests than before.
+   * Logs that an endpoint's rate limit has changed.
    *
-   * @param perSecond the rate, empty if it takes any
-   * @param cause the entry that told of it, or the status of the answer that stated it
+   * @param perSecond the limit in requests per second, empty if there is none
+   * @param cause the entry that reported it, or the status of the response that advertised it
    */
   static void rateLimitChanged(String endpoint, OptionalDouble perSecond, Object cause) {
     LOG.log(
@@ -27,10 +27,10 @@
   }
 
   /**
-   * Writes the line.
+   * Logs that an endpoint's recorded state has changed.
    *
-   * @param record what is believed now; its start and sequence number say how new the evidence is
-   * @param cause the instance that told of it, or what was observed here
+   * @param record the new record; its start and sequence number show how recent the evidence is
+   * @param cause the instance that sent it, or what was observed locally
    */
   static void changed(EndpointRecord record, String cause) {
     LOG.log(
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RoutingView.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RoutingView.java
@@ -4,13 +4,13 @@
 import org.lacewingcroft.route.RouteTable;
 
 /**
- * What an entry routes by at one moment; immutable, replaced as a whole.
+ * An immutable snapshot of the state by which an entry routes requests.
  *
- * @param revision the revision of the control group's routing state; 0 before any is known
+ * @param revision the revision of the control group's routing state; 0 before any is received
  * @param table the routes and services
- * @param evacuatedDomains failure domains whose endpoints get no work
+ * @param evacuatedDomains failure domains whose endpoints receive no requests
  */
 public record RoutingView(long revision, RouteTable table, Set<String> evacuatedDomains) {
-  /** Before any state is known. */
+  /** The view before any state is received. */
   public static final RoutingView NONE = new RoutingView(0, RouteTable.EMPTY, Set.of());
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionExchange.java
@@ -11,12 +11,9 @@
 import org.lacewingcroft.quarantine.SuspicionLedger;
 
 /**
- * What a control instance knows of contents under which endpoints broke off. It gathers what the
- * entries see: each of them sees only the endpoints' ends under its own requests, and the same
- * content may come to another one each time. New evidence goes to the other control instances at
- * once, a content that is quarantined by it to the entries; digests find what got lost on the way.
+ * The evidence that a control instance has on request contents that crash endpoints. It merges the observations of the entries: each entry sees only crashes during its own requests, and the same content may reach a different entry each time. New evidence is sent to the other control instances immediately, and to the entries if it quarantines or clears a content; digests detect lost messages.
  *
- * <p>Owned by the event loop.
+ * <p>Confined to the event loop thread.
  */
 final class SuspicionExchange {
   private static final System.Logger LOG = System.getLogger(SuspicionExchange.class.getName());
@@ -33,10 +30,10 @@
   private boolean saving;
 
   /**
-   * Creates it knowing what its disk has kept.
+   * Creates the exchange and loads the evidence stored on disk.
    *
-   * @param otherControls the other control instances
-   * @param entries the entries that go by this one
+   * @param otherControls returns the other control instances
+   * @param entries returns the entries that follow this instance
    */
   SuspicionExchange(
       Vertx vertx,
@@ -56,7 +53,7 @@
     load();
   }
 
-  /** What the disk has kept is a help, and no reason not to start. */
+  /** Loads the stored evidence. It is optional: an unreadable file does not prevent the start. */
   private void load() {
     Instant now = clock.instant();
     try {
@@ -69,7 +66,7 @@
     savedDigest = ledger.recurringDigest();
   }
 
-  /** Writes the recurring contents if they have changed; the disk may take its time. */
+  /** Saves the recurring contents if they have changed, without blocking the event loop. */
   private void save() {
     int digest = ledger.recurringDigest();
     if (saving || digest == savedDigest) {
@@ -89,7 +86,7 @@
         .onComplete(v -> saving = false);
   }
 
-  /** Takes what an entry or another control instance tells. */
+  /** Applies suspicions from an entry or another control instance. */
   void heard(FleetMessage.SuspicionUpdate update) {
     Instant now = clock.instant();
     List<Suspicion> learned = new ArrayList<>();
@@ -99,7 +96,7 @@
     learned.forEach(known -> QuarantineLog.logChange(known, update.from()));
     save();
     tell(entries.get(), learned.stream().filter(SuspicionExchange::concernsEntries).toList());
-    // What another control instance tells, it tells all of them.
+    // Suspicions from another control instance are not forwarded: it sends them to all of them.
     if (update.callId() != 0) {
       tell(otherControls.get(), learned);
       transport.send(update.from(), new FleetMessage.SuspicionAck(update.callId()));
@@ -116,7 +113,7 @@
     }
   }
 
-  /** Tells an entry of the quarantined contents if it reports others. */
+  /** Sends an entry the quarantined contents if the digest in its report differs. */
   void compare(FleetMessage.EntryReport report) {
     if (report.quarantineDigest() != quarantineDigest()) {
       tell(
@@ -125,7 +122,7 @@
     }
   }
 
-  /** Tells another control instance of the recurring contents if it knows others. */
+  /** Sends another control instance the recurring contents if the digest in its message differs. */
   void compare(FleetMessage.ControlHello hello) {
     if (hello.recurringDigest() != recurringDigest()) {
       tell(
@@ -134,12 +131,12 @@
     }
   }
 
-  /** Takes back what was held against contents because this endpoint had ended: it is back. */
+  /** Retracts the evidence that this endpoint crashed, since it has recovered. */
   void returned(EndpointRecord endpoint) {
     ledger.retractCrash(endpoint.incarnationId(), clock.instant());
   }
 
-  /** Forgets what is too old, and keeps the rest on disk. */
+  /** Removes expired evidence and saves the rest. */
   void maintain() {
     ledger.expire(clock.instant());
     save();
@@ -153,7 +150,7 @@
     return ledger.recurringDigest();
   }
 
-  /** Returns how many contents are quarantined. */
+  /** Returns the number of quarantined contents. */
   int size() {
     return ledger.quarantined(clock.instant()).size();
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionStore.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionStore.java
@@ -11,11 +11,9 @@
 import org.lacewingcroft.quarantine.Suspicion;
 
 /**
- * Keeps recurring contents on a control instance's disk, for when all instances restart at once and
- * none is left to tell the others.
+ * Stores recurring request contents on a control instance's disk, to retain them when all instances restart at the same time.
  *
- * <p>The file has two records: when it was written, in milliseconds since 1970 as 8 bytes, and a
- * {@link FleetMessage.SuspicionUpdate}.
+ * <p>The file has two records: the time at which it was written, in Unix milliseconds as 8 bytes, and a {@link FleetMessage.SuspicionUpdate}.
  */
 final class SuspicionStore {
   private static final String FILE = "quarantine";
@@ -25,9 +23,9 @@
   private final InstantSource wallClock;
 
   /**
-   * Uses a file in a data folder.
+   * Creates a store in a data folder.
    *
-   * @param wallClock the time of day, which goes on while no process runs
+   * @param wallClock the wall clock, which advances while no process runs
    */
   SuspicionStore(Path dataDir, InstantSource wallClock) {
     this.file = dataDir.resolve(FILE);
@@ -35,9 +33,9 @@
   }
 
   /**
-   * Replaces what is kept.
+   * Replaces the stored contents.
    *
-   * @throws IOException if the disk refuses it
+   * @throws IOException if the file cannot be written
    */
   void save(List<Suspicion> suspicions) throws IOException {
     byte[] writtenAt = ByteBuffer.allocate(Long.BYTES).putLong(wallClock.millis()).array();
@@ -46,9 +44,9 @@
   }
 
   /**
-   * Returns what was kept, aged by the time since it was written.
+   * Returns the stored contents, with their ages increased by the time since they were written.
    *
-   * @throws IOException if it cannot be read
+   * @throws IOException if the file cannot be read
    */
   List<Suspicion> load() throws IOException {
     List<byte[]> records = DurableFile.read(file).payloads();
@@ -61,7 +59,7 @@
         : List.of();
   }
 
-  /** Clocks step; nothing was written in the future. */
+  /** Returns the time since the file was written, or zero if the wall clock was set back since then. */
   private Duration since(Instant written) {
     Duration since = Duration.between(written, wallClock.instant());
     return since.isNegative() ? Duration.ZERO : since;
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/UpdateAggregator.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/UpdateAggregator.java
@@ -13,17 +13,15 @@
 import org.lacewingcroft.fleet.FleetMessage.News;
 
 /**
- * The part of a control instance that gathers the news of a region's entries and tells each of them
- * what the others told, and the aggregators of other regions what concerns theirs. It holds nothing
- * that cannot be lost: entries tell their work anew within a second.
+ * The part of a control instance that collects the updates of a region's entries and sends each entry the updates of the others, and sends the aggregators of other regions the updates that concern them. It holds no state that must survive a crash: entries report their load again within a second.
  *
- * <p>Owned by the event loop.
+ * <p>Confined to the event loop thread.
  */
 final class UpdateAggregator {
-  /** How often it is checked what is due. */
+  /** Interval at which due digests are checked for. */
   private static final long TICK_MILLIS = 40;
 
-  /** Silence of a region's entries after which they get no digests any more. */
+  /** Time without updates from a region's entries after which they receive no more digests. */
   private static final Duration SERVED = Duration.ofSeconds(2);
 
   private final FleetTransport transport;
@@ -33,7 +31,7 @@
   private final Supplier<Collection<String>> otherControls;
   private final Map<String, Served> regions = new TreeMap<>();
 
-  /** A region whose entries have chosen this aggregator. */
+  /** A region whose entries have selected this aggregator. */
   private static final class Served {
     private final UpdateBuffer digest = new UpdateBuffer();
     private final RemoteUpdateBuffer remote = new RemoteUpdateBuffer();
@@ -41,11 +39,11 @@
   }
 
   /**
-   * Creates the aggregator; {@link #start} begins to tell.
+   * Creates the aggregator; {@link #start} begins to send digests.
    *
    * @param self this instance's peer address
-   * @param entriesOfRegion the peer addresses of a region's live entries
-   * @param otherControls the peer addresses of the other control instances
+   * @param entriesOfRegion returns the peer addresses of a region's live entries
+   * @param otherControls returns the peer addresses of the other control instances
    */
   UpdateAggregator(
       FleetTransport transport,
@@ -64,7 +62,7 @@
     vertx.setPeriodic(TICK_MILLIS, id -> tick());
   }
 
-  /** Takes an entry's news. */
+  /** Buffers an entry's updates. */
   void heard(FleetMessage.EntryNews told) {
     Instant now = clock.instant();
     Served own = regions.computeIfAbsent(told.region(), r -> new Served());
@@ -77,7 +75,7 @@
     addToOthers(told.region(), forOtherRegions);
   }
 
-  /** Takes what the aggregator of another region tells. */
+  /** Buffers the updates of another region, received from its aggregator. */
   void heard(FleetMessage.RemoteNews told) {
     addToOthers(told.region(), told.news());
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/UpdateChannel.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/UpdateChannel.java
@@ -2,28 +2,28 @@
 
 import java.util.Map;
 
-/** The way by which an entry tells the others its news. */
+/** A channel through which an entry sends its updates to the other entries. */
 interface UpdateChannel {
-  /** Returns the pause between two regular reports of its work, in ms. */
+  /** Returns the interval between two regular load reports, in ms. */
   long pauseMillis();
 
   /**
-   * Tells its work to the entries of its region.
+   * Sends this entry's load to the entries of its region.
    *
-   * @param urgent whether they need it sooner than a regular report
+   * @param urgent whether they need it before the next regular report
    */
   void work(FleetMessage.LoadReport report, boolean urgent);
 
   /**
-   * Tells the entries of all regions what callers have used of their organisations' quotas.
+   * Sends the quota used by callers to the entries of all regions.
    *
-   * @param uses by organisation, not empty
+   * @param usage quota used, by organisation name; not empty
    */
   void quotaUses(Map<String, Long> uses);
 
-  /** Tells the entries of all regions that an endpoint has read the beginning of a prompt. */
+  /** Reports to the entries of all regions that an endpoint has prefilled a prompt prefix. */
   void prefixRead(FleetMessage.PrefixRead read);
 
-  /** Tells the other regions how loaded this one is. */
+  /** Sends this region's load to the other regions. */
   void regionLoad(FleetMessage.RegionLoad load);
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/AggregatorChoice.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/AggregatorChoice.java
@@ -8,27 +8,20 @@
 import java.util.Optional;
 
 /**
- * Which control instance gathers a region's news and tells it to the region's entries. All entries
- * choose by the same order, so that nearly always one instance hears all of them: those of the own
- * region first, then the others, whose digests are older by a trip between regions.
+ * Selects the control instance that collects a region's updates and distributes them to the region's entries. All entries rank the control instances in the same order, so that nearly always one instance receives the updates of all of them: first those of the entry's own region, then the others, whose digests are older by the latency between regions.
  *
- * <p>The load this answers is a region of many entries. Each telling every other costs each of them
- * work that grows with their number; one that gathers and tells costs an entry a few messages a
- * second however many there are.
+ * <p>Designed for regions of many entries. If each entry sent its updates to every other one, the work of each would grow with their number; with one aggregator, an entry handles a few messages a second regardless of the size of the region.
  *
- * <p>Not thread-safe: owned by the entry's event loop.
+ * <p>Not thread-safe: confined to the entry's event loop thread.
  */
 public final class AggregatorChoice {
-  /** Silence after which a control instance is not chosen: it answers a report every 500 ms. */
+  /** Time without a heartbeat after which a control instance is not selected. A control instance replies to each report, one every 500 ms. */
   private static final Duration PULSE_VALID = Duration.ofMillis(1_200);
 
-  /**
-   * Time without a digest since news was told after which the chosen one is given up: digests come
-   * every 480 ms at least, and the first may take a round trip between regions.
-   */
+  /** Time without a digest after an update was sent, after which the selected instance is put in backoff. Digests are sent at least every 480 ms, and the first one may take a round trip between regions. */
   private static final Duration DIGEST_OVERDUE = Duration.ofMillis(800);
 
-  /** How long one that was given up is passed over. */
+  /** How long a control instance that sent no digest in time is excluded. */
   private static final Duration PASSED_OVER = Duration.ofSeconds(3);
 
   private final String region;
@@ -47,7 +40,7 @@
   }
 
   /**
-   * Creates the choice.
+   * Creates a selector with no candidates.
    *
    * @param region the entry's region
    */
@@ -55,28 +48,28 @@
     this.region = region;
   }
 
-  /** Notes a sign of life of a control instance. */
+  /** Records a heartbeat of a control instance. */
   public void pulse(String address, String itsRegion, Instant now) {
     Candidate candidate = candidates.computeIfAbsent(address, a -> new Candidate());
     candidate.region = itsRegion;
     candidate.pulseAt = now;
   }
 
-  /** Notes a digest. */
+  /** Records the arrival of a digest. */
   public void digest(String address) {
     if (chosen.filter(address::equals).isPresent()) {
       unansweredSince = Optional.empty();
     }
   }
 
-  /** Notes that news was told to the chosen one, which is given up if no digest follows. */
+  /** Records that an update was sent to the selected instance, which is put in backoff if no digest follows within {@link #DIGEST_TIMEOUT}. */
   public void told(Instant now) {
     if (unansweredSince.isEmpty()) {
       unansweredSince = Optional.of(now);
     }
   }
 
-  /** Returns the peer address of the aggregator to tell news to; empty if none is in reach. */
+  /** Returns the peer address of the aggregator to send updates to, or empty if none is reachable. */
   public Optional<String> current(Instant now) {
     chosen.ifPresent(c -> giveUpIfSilent(c, now));
     Optional<String> best =
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/ControlContacts.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/ControlContacts.java
@@ -9,17 +9,14 @@
 import java.util.TreeSet;
 
 /**
- * Which control instances an entry goes by: those of its own region while one of them is in touch
- * with a majority of its group, all others as well while none is. The rest hear of it less often,
- * just so that they can name it to callers.
+ * Selects the control instances that an entry follows, that is, whose roster and entry list it receives: those of its own region while one of them is connected to a majority of the control group, and otherwise all of them. The other control instances receive reports less often, just enough to list the entry to callers.
  *
- * <p>In a large fleet every instance telling every entry the same lists fills the small links of
- * the entries, most of all when many entries start or stop one after the other.
+ * <p>In a large fleet, if every control instance sent the same lists to every entry, they would saturate the narrow links of the entries, above all while many entries start or stop one after the other.
  *
- * <p>Not thread-safe: owned by the entry's event loop.
+ * <p>Not thread-safe: confined to the entry's event loop thread.
  */
 public final class ControlContacts {
-  /** A control instance answers each report, two a second; one answer may be missing. */
+  /** Time without a reply after which a control instance does not count as reachable. It replies to each report, two a second; one reply may be lost. */
   private static final Duration PULSE_VALID = Duration.ofMillis(1_200);
 
   private final String region;
@@ -28,7 +25,7 @@
   private record Contact(String region, boolean inMajority, Instant at) {}
 
   /**
-   * Creates the contacts.
+   * Creates a tracker that has no replies yet.
    *
    * @param region the entry's region
    */
@@ -36,25 +33,25 @@
     this.region = region;
   }
 
-  /** Notes a control instance's answer. */
+  /** Records a control instance's reply to a report. */
   public void pulse(FleetMessage.ControlPulse pulse, Instant now) {
     contacts.put(pulse.from(), new Contact(pulse.region(), pulse.inMajority(), now));
   }
 
-  /** Drops the contacts that are not among the control instances any more. */
+  /** Removes the replies of instances that are no longer control instances. */
   public void retain(Collection<String> addresses) {
     contacts.keySet().retainAll(addresses);
   }
 
-  /** Returns whether no control instance has answered for a while. */
+  /** Returns whether no control instance has replied within a time span. */
   public boolean allSilentFor(Duration silence, Instant now) {
     return contacts.values().stream().noneMatch(c -> c.at.plus(silence).isAfter(now));
   }
 
   /**
-   * Returns the control instances that the entry goes by.
+   * Returns the control instances that the entry follows.
    *
-   * @param known all that it knows
+   * @param known all control instances that the entry knows
    */
   public Set<String> relied(Collection<String> known, Instant now) {
     Set<String> near = new TreeSet<>();
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/DirectoryChoice.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/DirectoryChoice.java
@@ -3,21 +3,17 @@
 import java.util.List;
 import java.util.Set;
 
-/**
- * Which entries a caller is sent to: those of its own region; if that has none that take callers,
- * as while the last of a small region restarts, those of regions that may run what it asks for, so
- * that its data leaves its region for no other; and any only if there is no such entry either.
- */
+/** Selects the entries that a caller is directed to: those of the caller's region; if none of them accepts requests, for example while the only entry of a small region restarts, those of the regions that may run the request, so that its data enters no other region; and entries of any region only if there are none of those either. */
 public final class DirectoryChoice {
   private DirectoryChoice() {}
 
   /**
-   * Returns the public addresses to tell.
+   * Returns the public addresses to return to the caller.
    *
-   * @param ready the entries that take callers
+   * @param ready the entries that accept requests
    * @param region the caller's region
-   * @param homes regions that may run every request to the host asked for; empty for any
-   * @param most how many to tell at most
+   * @param homeRegions regions that may run every request to the requested host; empty for any
+   * @param limit maximum number of addresses
    */
   public static List<String> of(List<EntryInfo> ready, String region, Set<String> homes, int most) {
     List<EntryInfo> chosen = in(ready, Set.of(region));
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointRecord.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointRecord.java
@@ -1,18 +1,17 @@
 package org.lacewingcroft.fleet;
 
 /**
- * An endpoint as it announced itself last, or as the control instances judge it.
+ * The last announced state of an endpoint, or the state that the control instances have recorded for it.
  *
- * @param id its id; an endpoint may start again under the id that it had
- * @param startedAtMillis when this incarnation started, in Unix milliseconds by its own clock; 0 if
- *     it does not say
+ * @param id its id; an endpoint may restart under the same id
+ * @param startedAtMillis when this incarnation started, in Unix milliseconds of its own clock; 0 if not announced
  * @param service the service it belongs to
- * @param address where it listens, {@code ip:port}
+ * @param address its listen address, {@code ip:port}
  * @param failureDomain its failure domain
- * @param slots requests it runs at once
+ * @param slots number of requests it runs concurrently
  * @param state its state
- * @param sequence the number of the announcement, rising within an incarnation
- * @param coldMillis how much longer it stays cold, counted from when the record was sent
+ * @param sequence the number of the announcement, increasing within an incarnation
+ * @param coldMillis remaining time for which it stays cold, in ms from when the record was sent
  */
 public record EndpointRecord(
     String id,
@@ -25,41 +24,36 @@
     long sequence,
     long coldMillis) {
 
-  /** Returns the name of this incarnation, as {@code id@start}. */
+  /** Returns the id of this incarnation, as {@code id@start}. */
   public String incarnationId() {
     return id + '@' + startedAtMillis;
   }
 
-  /** Returns this record in another state. */
+  /** Returns a copy of this record with the given state. */
   public EndpointRecord withState(EndpointState next) {
     return new EndpointRecord(
         id, startedAtMillis, service, address, failureDomain, slots, next, sequence, coldMillis);
   }
 
-  /** Returns this record with another remaining cold time. */
+  /** Returns a copy of this record with the given remaining cold time. */
   public EndpointRecord withColdMillis(long millis) {
     return new EndpointRecord(
         id, startedAtMillis, service, address, failureDomain, slots, state, sequence, millis);
   }
 
-  /** Returns whether this record is of an incarnation under the same id that started later. */
+  /** Returns whether this record belongs to an incarnation of the same id that started later. */
   public boolean startedAfter(EndpointRecord other) {
     return startedAtMillis > other.startedAtMillis;
   }
 
-  /**
-   * Returns whether an incarnation that was lost by an earlier record is in service by this one.
-   */
+  /** Returns whether this record reports an incarnation as ready that the earlier record reported as lost. */
   public boolean recoversFrom(EndpointRecord earlier) {
     return earlier.state == EndpointState.LOST
         && state == EndpointState.READY
         && !startedAfter(earlier);
   }
 
-  /**
-   * Returns whether this record says something newer of the same id: of a later incarnation, whose
-   * sequence numbers start anew, or later words of the same one.
-   */
+  /** Returns whether this record is newer than another one of the same id: from a later incarnation, whose sequence numbers restart, or a later announcement of the same incarnation. */
   public boolean supersedes(EndpointRecord older) {
     if (startedAtMillis != older.startedAtMillis) {
       return startedAfter(older);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointRoster.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointRoster.java
@@ -11,22 +11,17 @@
 import java.util.TreeMap;
 
 /**
- * The endpoints that an instance knows, merged from their own announcements and from what other
- * instances pass on. The newest announcement of an incarnation wins, whatever way it came; leaving
- * is final.
+ * The endpoints that an instance knows, merged from their own announcements and from the records that other instances forward. The newest announcement of an incarnation wins regardless of the path by which it arrived; {@link EndpointState#GONE} is final.
  *
- * <p>Addresses are used again. A new incarnation takes an address over from the one before, whose
- * announcements may still arrive late: it gets the address back only if it goes on announcing
- * itself while the other one is silent. An endpoint may also start again under the id that it had:
- * then the later start wins, whatever the earlier incarnation still says.
+ * <p>Addresses are reused. A new incarnation takes over the address of the previous one, whose announcements may still arrive late: the previous one gets the address back only if it keeps announcing itself while the new one does not. An endpoint may also restart under the same id: then the incarnation that started later wins, regardless of further announcements of the earlier one.
  *
- * <p>Not thread-safe: owned by the instance's event loop.
+ * <p>Not thread-safe: confined to the instance's event loop thread.
  */
 public final class EndpointRoster {
-  /** Announcements without one of the rival between that give an address back to an old holder. */
+  /** Announcements of the previous holder of an address, with none of the new holder in between, after which the previous holder gets the address back. */
   private static final int RECLAIM_ANNOUNCEMENTS = 2;
 
-  /** How long an incarnation that left is remembered, longer than any announcement is late. */
+  /** How long a deregistered incarnation is retained, longer than any announcement is delayed. */
   private static final Duration TOMBSTONE = Duration.ofSeconds(90);
 
   private static final class Known {
@@ -40,7 +35,7 @@
       take(record, now);
     }
 
-    /** An incarnation first heard of after the one that took its address over. */
+    /** Creates an incarnation whose first announcement arrived after that of the one which took over its address. */
     private static Known late(EndpointRecord record, Instant now) {
       Known known = new Known(record.withState(EndpointState.LOST), now);
       known.replaced = true;
@@ -62,11 +57,9 @@
   private final Map<String, Known> byId = new TreeMap<>();
 
   /**
-   * Takes an endpoint's own announcement, received here or by another control instance. That it has
-   * left is taken from any incarnation, replaced or not.
+   * Applies an endpoint's own announcement, received here or by another control instance. A deregistration ({@link EndpointState#GONE}) is accepted from any incarnation, replaced or not.
    *
-   * @return the record if it changed what others must know: a new endpoint, another state, or an
-   *     endpoint that turned cold
+   * @return the record if it is a change to publish: a new endpoint, another state, or an endpoint that became cold
    */
   public Optional<EndpointRecord> applyAnnouncement(EndpointRecord record, Instant now) {
     if (record.state() == EndpointState.GONE) {
@@ -88,7 +81,7 @@
     return merge(record, now);
   }
 
-  /** Whether an incarnation that started later is in service at the record's address. */
+  /** Returns whether an incarnation that started later is ready at the record's address. */
   private boolean laterStartAt(EndpointRecord record) {
     return record.startedAtMillis() > 0
         && byId.values().stream()
@@ -121,7 +114,7 @@
     }
   }
 
-  /** Takes a record from another instance; returns it if it changed what is known here. */
+  /** Merges a record from another instance and returns it if it changed the roster. */
   public Optional<EndpointRecord> merge(EndpointRecord record, Instant now) {
     Known known = byId.get(record.id());
     if (known == null) {
@@ -140,7 +133,7 @@
     return changed ? Optional.of(record) : Optional.empty();
   }
 
-  /** Marks endpoints that were not heard of for a lease as lost and returns them. */
+  /** Marks the endpoints whose lease has expired as lost and returns their records. */
   public List<EndpointRecord> expire(Instant now, Duration lease) {
     List<EndpointRecord> lost = new ArrayList<>();
     byId.values().removeIf(k -> k.heardAt.plus(TOMBSTONE).isBefore(now));
@@ -156,12 +149,12 @@
     return lost;
   }
 
-  /** Forgets an endpoint. */
+  /** Removes an endpoint. */
   public void remove(String id) {
     byId.remove(id);
   }
 
-  /** Forgets the endpoints that left so long ago that no word of them is late any more. */
+  /** Removes the endpoints that deregistered so long ago that none of their announcements can still arrive, and returns their ids. */
   public List<String> removeExpiredTombstones(Instant now) {
     List<String> gone =
         byId.values().stream()
@@ -173,27 +166,27 @@
     return gone;
   }
 
-  /** Counts every endpoint as heard of now: after a break their silence proves nothing. */
+  /** Renews every endpoint's lease. After the instance was disconnected, missed announcements are no evidence that an endpoint is lost. */
   public void renewAll(Instant now) {
     byId.values().forEach(k -> k.heardAt = now);
   }
 
-  /** Returns what is known of an incarnation. */
+  /** Returns the record of an endpoint. */
   public Optional<EndpointRecord> find(String id) {
     return Optional.ofNullable(byId.get(id)).map(k -> k.record);
   }
 
-  /** Returns how many incarnations are known, those included that have left lately. */
+  /** Returns the number of recorded endpoints, including those that deregistered recently. */
   public int size() {
     return byId.size();
   }
 
-  /** Returns every record, with the cold time left at this instant, ordered by id. */
+  /** Returns every record, with the cold time remaining at the given instant, ordered by id. */
   public Collection<EndpointRecord> records(Instant now) {
     return byId.values().stream().map(k -> k.recordAt(now)).toList();
   }
 
-  /** Returns a number that differs, almost surely, between rosters that say different things. */
+  /** Returns a hash of the roster's contents; different rosters have different hashes with high probability. */
   public int digest() {
     int digest = 0;
     for (Known known : byId.values()) {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointState.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointState.java
@@ -1,13 +1,13 @@
 package org.lacewingcroft.fleet;
 
-/** What the control instances believe of an endpoint; later ones win at an equal sequence. */
+/** The state of an endpoint as recorded by the control instances; at an equal sequence number the constant declared later takes precedence. */
 public enum EndpointState {
-  /** Takes work. */
+  /** Accepts requests. */
   READY,
-  /** Leaves soon: gets no new work. */
+  /** Shuts down soon and receives no new requests. */
   DRAINING,
-  /** Has not been heard of for a lease; may come back. */
+  /** Has not announced itself for the length of its lease, or another endpoint has taken over its address; may recover. */
   LOST,
-  /** Has left, or another endpoint took its address; never comes back. */
+  /** Has deregistered; final. */
   GONE
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetCodec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetCodec.java
@@ -9,10 +9,9 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * The MessagePack form of {@link FleetMessage}: a type tag, then the fields in record order.
+ * Encodes and decodes {@link FleetMessage} as MessagePack: a type tag, then the fields in record order.
  *
- * <p>The fields are named here, not found by a mapper: its look-ups by reflection would run anew in
- * each process that starts, at the moment when it is to be back soonest.
+ * <p>The fields are listed explicitly rather than found by a reflective object mapper, whose reflection would run again in each starting process, when a short start-up time matters most.
  */
 public final class FleetCodec {
   private static final int ENTRY_REPORT = 1;
@@ -36,7 +35,7 @@
 
   private FleetCodec() {}
 
-  /** Returns the bytes of a message. */
+  /** Encodes a message. */
   public static byte[] encode(FleetMessage message) throws IOException {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
       pack(packer, message);
@@ -114,7 +113,7 @@
   }
 
   /**
-   * Reads a message.
+   * Decodes a message.
    *
    * @throws IOException if the bytes are not a known message
    */
@@ -122,7 +121,7 @@
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
       return unpack(unpacker);
     } catch (MessagePackException e) {
-      throw new IOException("no fleet message: " + e.getMessage(), e);
+      throw new IOException("malformed fleet message: " + e.getMessage(), e);
     }
   }
 
@@ -194,7 +193,7 @@
               u.unpackLong(),
               FleetRecords.unpackAll(u, FleetRecords::unpackSuspicion));
       case SUSPICION_ACK -> new FleetMessage.SuspicionAck(u.unpackLong());
-      default -> throw new IOException("no fleet message has the type " + type);
+      default -> throw new IOException("unknown fleet message type " + type);
     };
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetMessage.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetMessage.java
@@ -7,25 +7,20 @@
 import org.lacewingcroft.limit.EndpointRateLimit;
 import org.lacewingcroft.quarantine.Suspicion;
 
-/**
- * The messages between entries and control instances of a fleet: who is there, which endpoints they
- * know, what the routing state is, and how loaded the endpoints are. Addresses are those of the
- * peer transport.
- */
+/** Messages between the entries and control instances of a fleet: membership, endpoint records, routing state, and endpoint load. Instance addresses are those of the peer transport. */
 public sealed interface FleetMessage {
 
   /**
    * An entry's periodic report to a control instance.
    *
    * @param entry the entry
-   * @param ready whether it takes callers
-   * @param wantsUpdates whether the entry goes by this instance's roster and list of entries, and
-   *     wants to be told of changes; an instance that it does not go by hears it less often
+   * @param ready whether it accepts requests
+   * @param wantsUpdates whether the entry follows this control instance, that is, receives changes of its roster and entry list; an instance that it does not follow receives reports less often
    * @param revision the revision of its routing state
    * @param rosterDigest the digest of its roster
    * @param entriesDigest the digest of the entries it knows
-   * @param quarantineDigest the digest of the quarantined contents it knows
-   * @param reportId what the answer is to repeat
+   * @param quarantineDigest the digest of the quarantined request contents it knows
+   * @param reportId the id that the reply repeats
    */
   record EntryReport(
       EntryInfo entry,
@@ -39,16 +34,16 @@
       implements FleetMessage {}
 
   /**
-   * A control instance's answer to a report.
+   * A control instance's reply to a report.
    *
    * @param from the control instance
    * @param region its region
-   * @param inMajority whether it is in touch with a majority of its group
-   * @param settled whether it has run long enough to know all endpoints that announce themselves
+   * @param inMajority whether it is connected to a majority of the control group
+   * @param discoveryComplete whether it has run long enough to know all endpoints that announce themselves
    * @param revision the revision of its committed routing state
-   * @param quarantineDigest the digest of the quarantined contents it knows
+   * @param quarantineDigest the digest of the quarantined request contents it knows
    * @param controls the control instances it knows
-   * @param reportId names the report that this answers; 0 if it answers none
+   * @param reportId the id of the report that this replies to; 0 if it replies to none
    */
   record ControlPulse(
       String from,
@@ -62,38 +57,36 @@
       implements FleetMessage {}
 
   /**
-   * A control instance's sign of life to the others; it also asks to be replicated to.
+   * A control instance's heartbeat to the others, which also requests admission to the control group.
    *
    * @param from the control instance
-   * @param recurringDigest the digest of the contents it knows under which several endpoints broke
-   *     off
+   * @param recurringDigest the digest of the request contents it knows that have crashed several endpoints
    * @param controls the control instances it knows
    */
   record ControlHello(String from, int recurringDigest, List<String> controls)
       implements FleetMessage {}
 
   /**
-   * Records of endpoints: announcements passed on between control instances, changes pushed to
-   * entries, or the whole roster.
+   * Endpoint records: announcements forwarded between control instances, changes pushed to entries, or the complete roster.
    *
    * @param from the sender
-   * @param callId names the update in a {@link RosterAck}; 0 if none is wanted
-   * @param complete whether these are all endpoints that the sender knows
+   * @param callId identifies the update in a {@link RosterAck}; 0 if none is requested
+   * @param complete whether the records are all endpoints that the sender knows
    * @param records the records
    */
   record RosterUpdate(String from, long callId, boolean complete, List<EndpointRecord> records)
       implements FleetMessage {}
 
   /**
-   * Confirms a {@link RosterUpdate}.
+   * Acknowledges a {@link RosterUpdate}.
    *
-   * @param from the control instance that has it now
+   * @param from the control instance that has applied the update
    * @param callId the update
    */
   record RosterAck(String from, long callId) implements FleetMessage {}
 
   /**
-   * The entries that take callers.
+   * The entries that accept requests.
    *
    * @param from the control instance
    * @param entries the entries
@@ -101,9 +94,9 @@
   record EntryList(String from, List<EntryInfo> entries) implements FleetMessage {}
 
   /**
-   * Asks for the routing state.
+   * Requests the routing state.
    *
-   * @param from the asking entry
+   * @param from the requesting entry
    */
   record StateRequest(String from) implements FleetMessage {}
 
@@ -118,78 +111,77 @@
   record StateOffer(long revision, long version, String document, Set<String> evacuatedDomains)
       implements FleetMessage {}
 
-  /** What a {@link ControlCall} asks of the leader. */
+  /** The operation that a {@link ControlCall} requests from the leader. */
   enum ControlOrder {
-    /** Put the document in force under the version. */
+    /** Activate the document under the given version. */
     ROUTE,
-    /** Begin the evacuation of the failure domain that the text names. */
+    /** Begin the evacuation of the failure domain given as the argument. */
     EVACUATE,
-    /** End it. */
+    /** End the evacuation of the failure domain given as the argument. */
     RETURN,
     /** Read the routing state. */
     READ
   }
 
   /**
-   * An operator's order, passed on to the leader.
+   * An operator order, forwarded to the leader.
    *
-   * @param from the control instance that passes it on
-   * @param callId names it in the reply
+   * @param from the control instance that forwards it
+   * @param callId identifies it in the reply
    * @param order the order
    * @param version the document's version, for {@link ControlOrder#ROUTE}
-   * @param text the document or the failure domain
-   * @param baseRevision the routing revision known to that instance when the operator called it
+   * @param argument the document or the failure domain
+   * @param baseRevision the routing revision known to that instance when it received the order
    */
   record ControlCall(
       String from, long callId, ControlOrder order, long version, String text, long baseRevision)
       implements FleetMessage {}
 
   /**
-   * Answers a {@link ControlCall}.
+   * Replies to a {@link ControlCall}.
    *
    * @param callId the call
-   * @param committed whether the order is committed; otherwise its outcome is not known
-   * @param version for a read the operator's version in force
-   * @param document for a read its document
+   * @param committed whether the order is committed; otherwise its outcome is unknown
+   * @param version for a read, the operator's version of the active document
+   * @param document for a read, that document
    */
   record ControlReply(long callId, boolean committed, long version, String document)
       implements FleetMessage {}
 
   /**
-   * Contents under which endpoints broke off. Entries tell control instances what they have seen,
-   * control instances tell each other, and all tell each other which contents are quarantined.
+   * Request contents that are suspected of crashing endpoints. Entries report what they observe to the control instances, control instances forward it to each other, and all of them exchange which contents are quarantined.
    *
    * @param from the sender
-   * @param callId names the message in a {@link SuspicionAck}; 0 if none is wanted
-   * @param suspicions the contents
+   * @param callId identifies the message in a {@link SuspicionAck}; 0 if none is requested
+   * @param suspicions the suspected contents
    */
   record SuspicionUpdate(String from, long callId, List<Suspicion> suspicions)
       implements FleetMessage {}
 
   /**
-   * Confirms a {@link SuspicionUpdate}.
+   * Acknowledges a {@link SuspicionUpdate}.
    *
    * @param callId the update
    */
   record SuspicionAck(long callId) implements FleetMessage {}
 
   /**
-   * An entry tells the others of its region what it has in flight at their endpoints.
+   * An entry's requests in flight at the endpoints, sent to the other entries of its region.
    *
    * @param from the entry's name
-   * @param complete whether it has nothing in flight at endpoints that are not named
-   * @param loads its work by endpoint
+   * @param complete whether the entry has no requests in flight at endpoints that are not listed
+   * @param loads its load by endpoint
    */
   record LoadReport(String from, boolean complete, List<EndpointLoad> loads)
       implements FleetMessage {}
 
   /**
-   * One entry's work at one endpoint.
+   * One entry's load at one endpoint.
    *
    * @param endpoint the endpoint's id
    * @param running requests in flight
-   * @param pendingPrompts the prompts among them that the endpoint has not read yet
-   * @param rate what it has lately stated to this entry of the rate that it takes, if anything
+   * @param pendingPrompts the prompts among them that the endpoint has not prefilled yet
+   * @param rateLimit the rate limit that the endpoint has recently advertised to this entry, if any
    */
   record EndpointLoad(
       String endpoint,
@@ -198,100 +190,98 @@
       Optional<EndpointRateLimit.Report> rate) {}
 
   /**
-   * A prompt that an endpoint has been sent and has not read yet.
+   * A prompt that was sent to an endpoint and is not yet prefilled.
    *
    * @param priority its priority, 0 the most urgent
-   * @param tokens how many tokens the endpoint has to read
-   * @param ageMillis how long ago it was sent
+   * @param tokens number of tokens to prefill
+   * @param ageMillis time since it was sent, in ms
    */
   record UnreadPrompt(int priority, long tokens, long ageMillis) {}
 
   /**
-   * An entry tells the others that an endpoint has read the beginning of a prompt, from where other
-   * endpoints may fetch it.
+   * An entry's report that an endpoint has prefilled a prompt prefix, which other endpoints may fetch from its KV cache.
    *
    * @param endpoint the endpoint's id
-   * @param parts the parts that it has read, in order
+   * @param parts the prefilled parts, in order
    */
   record PrefixRead(String endpoint, List<ReadPart> parts) implements FleetMessage {}
 
   /**
-   * One part of a prompt that was read.
+   * One prefilled part of a prompt.
    *
-   * @param id names its content
-   * @param tokens its length
+   * @param id identifies its content
+   * @param tokens its length in tokens
    */
   record ReadPart(String id, long tokens) {}
 
   /**
-   * How loaded a region is, told to the entries of other regions.
+   * The load of a region, sent to the entries of other regions.
    *
    * @param region the region
-   * @param services one element a service
+   * @param services one element per service
    */
   record RegionLoad(String region, List<ServiceLoad> services) implements FleetMessage {}
 
   /**
-   * How loaded a service is in a region.
+   * The load of a service in a region.
    *
    * @param service the service
-   * @param endpoints endpoints that take work
-   * @param waitMillis the wait expected there, by priority from 0
-   * @param tokenMillis how long each token of an answer takes there
+   * @param endpoints number of endpoints that accept requests
+   * @param waitMillis the expected wait there in ms, indexed by priority
+   * @param tokenMillis the time per output token there, in ms
    */
   record ServiceLoad(String service, int endpoints, long[] waitMillis, double tokenMillis) {}
 
   /**
-   * What entries tell each other, gathered from one entry or from many.
+   * A batch of updates that entries exchange, of one entry or merged from several.
    *
-   * @param loads entries' work at endpoints, the later report of an entry behind the earlier
-   * @param prefixes beginnings of prompts that endpoints have read
-   * @param regionLoads how loaded whole regions are
-   * @param quotaUsage what callers have used of the quotas of their organisations, by its name
+   * @param loads the entries' load at endpoints; a later report of an entry follows its earlier ones
+   * @param prefixes prompt prefixes that endpoints have prefilled
+   * @param regionLoads the load of whole regions
+   * @param quotaUsage quota used by callers, by organisation name
    */
   record News(
       List<LoadReport> loads,
       List<PrefixRead> prefixes,
       List<RegionLoad> regionLoads,
       Map<String, Long> quotaUsage) {
-    /** Nothing. */
+    /** An empty batch. */
     public static final News NONE = new News(List.of(), List.of(), List.of(), Map.of());
 
-    /** News that say nothing of quotas. */
+    /** Creates a batch without quota usage. */
     public News(List<LoadReport> loads, List<PrefixRead> prefixes, List<RegionLoad> regionLoads) {
       this(loads, prefixes, regionLoads, Map.of());
     }
 
-    /** Returns whether there is none. */
+    /** Returns whether the batch is empty. */
     public boolean isEmpty() {
       return loads.isEmpty() && prefixes.isEmpty() && regionLoads.isEmpty() && quotaUsage.isEmpty();
     }
   }
 
   /**
-   * An entry tells the aggregator of its region its news.
+   * An entry's updates, sent to the aggregator of its region.
    *
    * @param from the entry's name
    * @param region its region
-   * @param urgent whether the others need it sooner than the next regular digest
-   * @param news its news
+   * @param urgent whether the other entries need the updates before the next regular digest
+   * @param news the updates
    */
   record EntryNews(String from, String region, boolean urgent, News news) implements FleetMessage {}
 
   /**
-   * An aggregator tells the entries of a region what it has heard since its last digest. An empty
-   * one is its sign of life.
+   * The updates that an aggregator has received since its last digest, sent to the entries of a region. An empty digest serves as a heartbeat.
    *
    * @param from the aggregator
-   * @param news the news, the receiver's own included
+   * @param news the updates, including the recipient's own
    */
   record NewsDigest(String from, News news) implements FleetMessage {}
 
   /**
-   * An aggregator tells the aggregators of other regions what concerns their entries.
+   * The updates that concern other regions, sent by an aggregator to the aggregators of those regions.
    *
-   * @param region the region that the news is of
-   * @param news prefixes and the region's load
+   * @param region the region that the updates come from
+   * @param news prefixes, the region's load and quota usage
    */
   record RemoteNews(String region, News news) implements FleetMessage {}
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetRecords.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetRecords.java
@@ -25,9 +25,9 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** The MessagePack form of what fleet messages consist of: fields in record order. */
+/** Packs and unpacks the records that fleet messages consist of, as MessagePack with the fields in record order. */
 final class FleetRecords {
-  /** Room made at first for a list, however long its sender says that it is. */
+  /** Maximum initial capacity of a list, regardless of the length that its sender claims. */
   private static final int MOST_FORESEEN = 1_024;
 
   private FleetRecords() {}
@@ -67,10 +67,10 @@
     return unpackAll(u, MessageUnpacker::unpackString);
   }
 
-  /** Returns an enum's constant by its ordinal. */
+  /** Returns the enum constant with the given ordinal. */
   static <E> E constant(E[] values, int ordinal) throws IOException {
     if (ordinal < 0 || ordinal >= values.length) {
-      throw new IOException("no constant has the number " + ordinal);
+      throw new IOException("unknown enum ordinal " + ordinal);
     }
     return values[ordinal];
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/MajorityCount.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/MajorityCount.java
@@ -2,15 +2,15 @@
 
 import java.util.Set;
 
-/** How many other members make a majority know what one instance knows. */
+/** Computes how many members must confirm a record so that a majority has it. */
 public final class MajorityCount {
   private MajorityCount() {}
 
   /**
-   * Returns how many members besides an instance must confirm something it knows.
+   * Returns the number of members other than an instance that must confirm a record that it holds.
    *
    * @param members the group's members
-   * @param self the instance, which may stand by without being a member; it does not count then
+   * @param self the instance, which counts towards the majority only if it is a member
    */
   public static int othersNeeded(Set<String> members, String self) {
     int majority = members.size() / 2 + 1;
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/RemoteUpdateBuffer.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/RemoteUpdateBuffer.java
@@ -13,17 +13,15 @@
 import org.lacewingcroft.fleet.FleetMessage.RegionLoad;
 
 /**
- * A region's news that waits to be told to the other regions. Links between regions are slow and
- * dear, and one holder of a prefix is enough to fetch it from, so each prefix is told once in a
- * while, whichever endpoints read it.
+ * Buffers a region's updates for the other regions. Links between regions are slow and expensive, and one cache holder suffices to fetch a prefix from, so each prefix is sent once per interval, whichever endpoints have prefilled it.
  *
- * <p>Not thread-safe: owned by the instance's event loop.
+ * <p>Not thread-safe: confined to the instance's event loop thread.
  */
 public final class RemoteUpdateBuffer {
-  /** Pause between two messages. */
+  /** Minimum interval between two messages. */
   private static final Duration PAUSE = Duration.ofMillis(200);
 
-  /** Pause in which a prefix is told of once. */
+  /** Interval in which a prefix is sent at most once. */
   private static final Duration PREFIX_PAUSE = Duration.ofSeconds(5);
 
   private final Map<List<ReadPart>, Instant> toldAt = new HashMap<>();
@@ -32,7 +30,7 @@
   private Optional<RegionLoad> load = Optional.empty();
   private Instant takenAt = Instant.EPOCH;
 
-  /** Adds what concerns other regions. */
+  /** Adds the updates that concern other regions. */
   public void add(News news, Instant now) {
     for (PrefixRead read : news.prefixes()) {
       if (toldAt.putIfAbsent(read.parts(), now) == null) {
@@ -45,7 +43,7 @@
     news.quotaUsage().forEach((name, use) -> quotaUses.merge(name, use, Long::sum));
   }
 
-  /** Takes the news if there is some and it is due. */
+  /** Removes and returns the updates if there are any and a message is due. */
   public Optional<News> take(Instant now) {
     boolean empty = prefixes.isEmpty() && load.isEmpty() && quotaUses.isEmpty();
     if (empty || takenAt.plus(PAUSE).isAfter(now)) {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/StateLease.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/StateLease.java
@@ -6,20 +6,17 @@
 import org.lacewingcroft.misc.BoundedMap;
 
 /**
- * How long an instance may go by the routing state that it has. It asks again and again; an answer
- * that names no newer state proves the one it has for a while from when it asked, not from when the
- * answer came: answers may be held up on the way.
+ * A lease on the routing state that an instance holds. The instance requests the state repeatedly; a reply that reports no newer state confirms its own for a limited time from when the request was sent, not from when the reply arrived, since replies may be delayed.
  *
- * <p>A machine that was suspended does not see it on its steady clock. The time of day moves
- * against that clock then, and what was proved before proves nothing any more.
+ * <p>The monotonic clock does not advance while the machine is suspended, but the wall clock does. A difference between the two therefore invalidates earlier confirmations.
  *
- * <p>Not thread-safe: owned by the instance's event loop.
+ * <p>Not thread-safe: confined to the instance's event loop thread.
  */
 public final class StateLease {
-  /** Difference between the clocks that is no suspension: both are read one after the other. */
+  /** Maximum difference between the clocks that does not count as a suspension. It covers the delay between the two readings, which are taken one after the other. */
   private static final Duration CLOCK_SLACK = Duration.ofMillis(500);
 
-  /** Questions remembered that have no answer yet. */
+  /** Maximum number of retained requests that have no reply yet. */
   private static final int MOST_OPEN = 64;
 
   private final Duration validity;
@@ -28,10 +25,10 @@
   private Clocks provedAt = new Clocks(Instant.MIN, Instant.MIN);
 
   /**
-   * Both clocks at one moment.
+   * Readings of both clocks at one moment.
    *
-   * @param steady the clock that never steps
-   * @param wall the time of day
+   * @param monotonic the clock that is never adjusted
+   * @param wall the wall clock
    */
   public record Clocks(Instant steady, Instant wall) {
     private boolean isWithin(Duration time, Clocks since) {
@@ -42,22 +39,22 @@
   }
 
   /**
-   * Creates a lease that is over.
+   * Creates an expired lease.
    *
-   * @param validity how long an answer proves the state
+   * @param validity how long a reply confirms the state
    */
   public StateLease(Duration validity) {
     this.validity = validity;
   }
 
-  /** Notes that the instance asks now; returns what its question is to be called, above 0. */
+  /** Records that a request is sent and returns its id, which is above 0. */
   public long ask(Clocks now) {
     lastId++;
     open.put(lastId, now);
     return lastId;
   }
 
-  /** Notes an answer that names no newer state than the instance has. */
+  /** Records a reply that reports no newer state than the instance has. */
   public void proved(long id) {
     Clocks askedAt = open.get(id);
     if (askedAt != null && askedAt.steady.isAfter(provedAt.steady)) {
@@ -65,7 +62,7 @@
     }
   }
 
-  /** Returns whether the instance may go by its state. */
+  /** Returns whether the instance may use its state. */
   public boolean isValid(Clocks now) {
     return !provedAt.steady.equals(Instant.MIN) && now.isWithin(validity, provedAt);
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/UnreachableEntries.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/UnreachableEntries.java
@@ -7,31 +7,29 @@
 import java.util.Map;
 
 /**
- * Entries that could not be connected to lately. The load this answers: while an entry of another
- * region is silent, each request relayed to it waits for a connection's whole timeout before it
- * goes elsewhere; only the first one shall.
+ * Tracks entries to which connecting has recently failed. Designed for the case that an entry of another region is unresponsive: each request relayed to it would wait for the whole connect timeout before it goes elsewhere. With this class, only the first one does.
  *
- * <p>Not thread-safe: owned by the entry's event loop.
+ * <p>Not thread-safe: confined to the entry's event loop thread.
  */
 public final class UnreachableEntries {
-  /** How long an entry is avoided: about as long as the directory takes to drop a silent one. */
+  /** How long an entry is avoided, about as long as the directory takes to drop an unresponsive one. */
   private static final Duration AVOIDED = Duration.ofSeconds(2);
 
   private final Map<String, Instant> failedAt = new HashMap<>();
 
-  /** Notes that an entry could not be connected to. */
+  /** Records that connecting to an entry failed. */
   public void failed(EntryInfo entry, Instant now) {
     failedAt.values().removeIf(at -> !at.plus(AVOIDED).isAfter(now));
     failedAt.put(entry.name(), now);
   }
 
-  /** Returns the entries that did not fail lately, or all of them if each one did. */
+  /** Returns the entries to which connecting has not failed recently, or all entries if it has failed for each. */
   public List<EntryInfo> prefer(List<EntryInfo> entries, Instant now) {
     List<EntryInfo> sound = entries.stream().filter(e -> !failedLately(e, now)).toList();
     return sound.isEmpty() ? entries : sound;
   }
 
-  /** Returns whether each of these entries failed lately. */
+  /** Returns whether connecting has recently failed for each of these entries. */
   public boolean allFailed(List<EntryInfo> entries, Instant now) {
     return entries.stream().allMatch(e -> failedLately(e, now));
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/UpdateBuffer.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/UpdateBuffer.java
@@ -13,20 +13,18 @@
 import org.lacewingcroft.fleet.FleetMessage.RegionLoad;
 
 /**
- * News that waits for the next digest to a region's entries: a later whole report of an entry takes
- * the place of its earlier ones, a region's later load that of its earlier one, and what was used
- * of quotas adds up.
+ * Buffers updates for the next digest to a region's entries: a later complete load report of an entry replaces its earlier reports, a later load of a region replaces the earlier one, and quota usage is summed.
  *
- * <p>Not thread-safe: owned by the instance's event loop.
+ * <p>Not thread-safe: confined to the instance's event loop thread.
  */
 public final class UpdateBuffer {
-  /** Pause between two digests: about as long as a short prompt is read. */
+  /** Minimum interval between two digests, about the time in which a short prompt is prefilled. */
   private static final Duration PAUSE = Duration.ofMillis(120);
 
-  /** Least pause before a digest with urgent news, so that a burst of them costs few digests. */
+  /** Minimum interval before a digest with urgent updates, so that a burst of them causes few digests. */
   private static final Duration URGENT_PAUSE = Duration.ofMillis(40);
 
-  /** Pause after which an empty digest is sent as a sign of life. */
+  /** Interval after which an empty digest is sent as a heartbeat. */
   private static final Duration IDLE_PAUSE = Duration.ofMillis(480);
 
   private final List<LoadReport> loads = new ArrayList<>();
@@ -36,7 +34,7 @@
   private boolean urgent;
   private Instant takenAt = Instant.EPOCH;
 
-  /** Adds news. */
+  /** Adds updates. */
   public void add(News news, boolean isUrgent) {
     for (LoadReport report : news.loads()) {
       if (report.complete()) {
@@ -53,7 +51,7 @@
     urgent |= isUrgent;
   }
 
-  /** Takes the news for a digest if one is due; it may be empty. */
+  /** Removes and returns the updates for a digest if one is due; they may be empty. */
   public Optional<News> take(Instant now) {
     if (takenAt.plus(pause()).isAfter(now)) {
       return Optional.empty();
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/AggregatorChoiceTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/AggregatorChoiceTest.java
@@ -12,16 +12,16 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Which control instance an entry of the region "north" tells its news to. */
+/** Tests which control instance an entry of the region "north" sends its updates to. */
 class AggregatorChoiceTest {
   private static final Instant START = Instant.EPOCH.plusSeconds(100);
   private static final Duration STEP = Duration.ofMillis(100);
 
   /**
-   * What a control instance does, in steps of 100 ms.
+   * The behaviour of a control instance, in steps of 100 ms.
    *
-   * @param pulsesUntil the step from which its pulses are missing
-   * @param digestsUntil the step from which its digests are missing
+   * @param heartbeatsUntil the step from which it sends no heartbeats
+   * @param digestsUntil the step from which it sends no digests
    */
   private record Control(String address, String region, int pulsesUntil, int digestsUntil) {
     private static Control sound(String address, String region) {
@@ -38,15 +38,15 @@
     Control stopsTelling = new Control("10.0.0.1:7", "north", 100, 20);
     return Stream.of(
         Arguments.of("none is known", List.of(), 5, Optional.empty()),
-        Arguments.of("one of the own region", List.of(far, near), 5, name(near)),
-        Arguments.of("the first by address of two", List.of(alsoNear, near), 5, name(near)),
-        Arguments.of("another region's if there is no other", List.of(far), 5, name(far)),
-        Arguments.of("the next when it dies", List.of(dies, alsoNear, far), 30, name(alsoNear)),
-        Arguments.of("another region's when it dies", List.of(dies, far), 30, name(far)),
-        Arguments.of("none when the last dies", List.of(dies), 30, Optional.empty()),
-        Arguments.of("not one that never tells", List.of(neverTells, far), 20, name(far)),
-        Arguments.of("not one that stops telling", List.of(stopsTelling, far), 35, name(far)),
-        Arguments.of("tried again later", List.of(neverTells, far), 41, name(neverTells)));
+        Arguments.of("an instance of the entry's region is preferred", List.of(far, near), 5, name(near)),
+        Arguments.of("the first of two by address", List.of(alsoNear, near), 5, name(near)),
+        Arguments.of("one of another region if it is the only one", List.of(far), 5, name(far)),
+        Arguments.of("the next one after a crash", List.of(dies, alsoNear, far), 30, name(alsoNear)),
+        Arguments.of("one of another region after a crash", List.of(dies, far), 30, name(far)),
+        Arguments.of("none after the last one crashes", List.of(dies), 30, Optional.empty()),
+        Arguments.of("not one that never sends digests", List.of(neverTells, far), 20, name(far)),
+        Arguments.of("not one that stops sending digests", List.of(stopsTelling, far), 35, name(far)),
+        Arguments.of("selected again after the backoff", List.of(neverTells, far), 41, name(neverTells)));
   }
 
   private static Optional<String> name(Control control) {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/ControlContactsTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/ControlContactsTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Which control instances an entry of the region "north" goes by. */
+/** Tests which control instances an entry of the region "north" follows. */
 class ControlContactsTest {
   private static final Instant NOW = Instant.EPOCH.plusSeconds(100);
   private static final Set<String> ALL = Set.of("n1", "n2", "s1", "s2");
 
-  /** A control instance's last answer. */
+  /** A control instance's last reply. */
   private record Answer(String from, String region, boolean inMajority, long agoMillis) {}
 
   static Stream<Arguments> cases() {
@@ -26,20 +26,20 @@
     Answer alsoNorth = new Answer("n2", "north", true, 100);
     Answer south = new Answer("s1", "south", true, 100);
     return Stream.of(
-        Arguments.of("all before any answer", List.of(), ALL),
-        Arguments.of("all while only others answered", List.of(south), ALL),
-        Arguments.of("the own region's", List.of(north, south), Set.of("n1")),
-        Arguments.of("both of the own region", List.of(north, alsoNorth), Set.of("n1", "n2")),
+        Arguments.of("all before the first reply", List.of(), ALL),
+        Arguments.of("all while only other regions replied", List.of(south), ALL),
+        Arguments.of("those of the entry's region", List.of(north, south), Set.of("n1")),
+        Arguments.of("both of the entry's region", List.of(north, alsoNorth), Set.of("n1", "n2")),
         Arguments.of(
-            "all when the own region's are cut off from their group",
+            "all when those of the entry's region are disconnected from their group",
             List.of(new Answer("n1", "north", false, 100), south),
             ALL),
         Arguments.of(
-            "the own region's while one is in touch with its group",
+            "those of the entry's region while one is connected to its group",
             List.of(new Answer("n1", "north", false, 100), alsoNorth, south),
             Set.of("n1", "n2")),
         Arguments.of(
-            "all when the own region's fell silent",
+            "all when those of the entry's region stop replying",
             List.of(new Answer("n1", "north", true, 1_200), south),
             ALL));
   }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/DirectoryChoiceTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/DirectoryChoiceTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Whom a caller of the region "north" is told of. */
+/** Tests which entries a caller of the region "north" is directed to. */
 class DirectoryChoiceTest {
-  /** A row: the regions of the ready entries, the homes of the host, and the entries told. */
+  /** A test case: the regions of the ready entries, the home regions of the host, and the expected addresses. */
   record Row(String name, List<String> ready, Set<String> homes, int most, List<String> told) {
     @Override
     public String toString() {
@@ -22,33 +22,33 @@
   static Stream<Row> rows() {
     Set<String> any = Set.of();
     return Stream.of(
-        new Row("the own region", List.of("south", "north"), any, 9, List.of("north-1")),
+        new Row("the caller's region", List.of("south", "north"), any, 9, List.of("north-1")),
         new Row(
-            "the own region, home or not",
+            "the caller's region even if it is not a home region",
             List.of("south", "north"),
             Set.of("south"),
             9,
             List.of("north-1")),
         new Row(
-            "any if the own has none",
+            "any region if the caller's region has no entry",
             List.of("south", "east"),
             any,
             9,
             List.of("south-0", "east-1")),
         new Row(
-            "a home if the own has none",
+            "a home region if the caller's region has no entry",
             List.of("south", "east"),
             Set.of("north", "east"),
             9,
             List.of("east-1")),
         new Row(
-            "any if no home has one either",
+            "any region if no home region has an entry either",
             List.of("south", "east"),
             Set.of("north"),
             9,
             List.of("south-0", "east-1")),
-        new Row("so many at most", List.of("north", "north"), any, 1, List.of("north-0")),
-        new Row("nobody", List.of(), any, 9, List.of()));
+        new Row("at most the limit", List.of("north", "north"), any, 1, List.of("north-0")),
+        new Row("no entry", List.of(), any, 9, List.of()));
   }
 
   @ParameterizedTest
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/EndpointRestartTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/EndpointRestartTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Endpoints that start again under the id that they had, or at an address of an earlier one. */
+/** Tests endpoints that restart under the same id, or at the address of an earlier endpoint. */
 class EndpointRestartTest {
   private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
   private static final EndpointState READY = EndpointState.READY;
   private static final EndpointState DRAINING = EndpointState.DRAINING;
   private static final EndpointState GONE = EndpointState.GONE;
 
-  /** One announcement: of which endpoint, which of its starts, and what it says. */
+  /** An announcement of one incarnation of an endpoint. */
   record Word(String id, long startedAtMillis, EndpointState state, long sequence) {
     EndpointRecord record() {
       return new EndpointRecord(
@@ -29,7 +29,7 @@
     }
   }
 
-  /** A row: the words in order of arrival and what is believed of endpoint "a" afterwards. */
+  /** A test case: the announcements in order of arrival and the resulting record of endpoint "a". */
   record Row(String name, List<Word> words, long startedAtMillis, EndpointState state) {
     @Override
     public String toString() {
@@ -47,34 +47,34 @@
 
   static Stream<Row> rows() {
     return Stream.of(
-        new Row("counts start anew", List.of(first(READY, 900), second(READY, 1)), 2_000, READY),
+        new Row("sequence numbers restart", List.of(first(READY, 900), second(READY, 1)), 2_000, READY),
         new Row(
-            "late words of the earlier start change nothing",
+            "late announcements of the earlier incarnation are ignored",
             List.of(first(READY, 900), second(READY, 1), first(DRAINING, 901)),
             2_000,
             READY),
         new Row(
-            "it left and started again",
+            "deregistration followed by a restart",
             List.of(first(READY, 3), first(GONE, 3), second(READY, 1)),
             2_000,
             READY),
         new Row(
-            "a late word that the earlier start left",
+            "a late deregistration of the earlier incarnation is ignored",
             List.of(first(READY, 3), second(READY, 1), first(GONE, 3)),
             2_000,
             READY),
         new Row(
-            "an earlier start is first heard of afterwards",
+            "an earlier incarnation is first announced afterwards",
             List.of(second(READY, 1), first(READY, 900), first(READY, 901)),
             2_000,
             READY),
         new Row(
-            "another id that started earlier does not take the address over",
+            "an endpoint that started earlier does not take over the address",
             List.of(second(READY, 1), new Word("b", 1_000, READY, 7)),
             2_000,
             READY),
         new Row(
-            "another id that started later does",
+            "an endpoint that started later takes over the address",
             List.of(first(READY, 7), new Word("b", 2_000, READY, 1)),
             1_000,
             EndpointState.LOST));
@@ -94,7 +94,7 @@
     return IntStream.range(0, 200).boxed();
   }
 
-  /** Whatever the order in which two starts' words arrive, replicas believe the same. */
+  /** Checks that rosters agree regardless of the order in which two incarnations' announcements arrive. */
   @ParameterizedTest
   @MethodSource("seeds")
   void replicasAgreeWhateverTheOrder(int seed) {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/EndpointRosterTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/EndpointRosterTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Announcements that come late, out of order, or from an address that changed hands. */
+/** Tests announcements that arrive late, out of order, or from an address that another endpoint has taken over. */
 class EndpointRosterTest {
   private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
   private static final Duration LEASE = Duration.ofSeconds(5);
@@ -20,10 +20,10 @@
   private static final EndpointState LOST = EndpointState.LOST;
   private static final EndpointState GONE = EndpointState.GONE;
 
-  /** One announcement, or word of another instance, in order of arrival. */
+  /** An announcement, or a record from another instance if it is a deregistration. */
   record Word(String id, EndpointState state, long sequence) {}
 
-  /** A row: the words that arrive and the states believed afterwards of "old" and "new". */
+  /** A test case: the announcements in order of arrival and the resulting states of "old" and "new". */
   record Row(String name, List<Word> words, EndpointState old, EndpointState fresh) {
     @Override
     public String toString() {
@@ -43,26 +43,26 @@
     return Stream.of(
         new Row("drains", List.of(old(READY, 1), old(DRAINING, 2)), DRAINING, null),
         new Row(
-            "a late ready does not undo draining",
+            "a late READY announcement does not undo draining",
             List.of(old(READY, 1), old(DRAINING, 3), old(READY, 2)),
             DRAINING,
             null),
         new Row(
-            "leaving is final", List.of(old(READY, 1), old(GONE, 1), old(READY, 9)), GONE, null),
+            "deregistration is final", List.of(old(READY, 1), old(GONE, 1), old(READY, 9)), GONE, null),
         new Row(
-            "a new incarnation takes over", List.of(old(READY, 7), fresh(READY, 1)), LOST, READY),
+            "a new incarnation takes over the address", List.of(old(READY, 7), fresh(READY, 1)), LOST, READY),
         new Row(
-            "one late word of the old one changes nothing",
+            "one late announcement of the old one is ignored",
             List.of(old(READY, 7), fresh(READY, 1), old(READY, 8)),
             LOST,
             READY),
         new Row(
-            "nor do two with one of the new between",
+            "two late announcements with one of the new one in between are ignored",
             List.of(old(READY, 7), fresh(READY, 1), old(READY, 8), fresh(READY, 2), old(READY, 9)),
             LOST,
             READY),
         new Row(
-            "who goes on alone gets the address back",
+            "the only one that keeps announcing itself gets the address back",
             List.of(fresh(READY, 1), old(READY, 7), fresh(READY, 2), fresh(READY, 3)),
             LOST,
             READY));
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/MajorityCountTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/MajorityCountTest.java
@@ -16,8 +16,8 @@
     "3, member-0, 1",
     "5, member-4, 2",
     "6, member-0, 3",
-    "1, standing-by, 1",
-    "5, standing-by, 3"
+    "1, non-member, 1",
+    "5, non-member, 3"
   })
   void countsTheOthers(int size, String self, int expected) {
     Set<String> members =
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/RelayPartnersTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/RelayPartnersTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Whom an entry relays to: few, the same while they last, and all of a region in even shares. */
+/** Tests that an entry relays to few partners, that they are stable, and that all entries of a region are used evenly. */
 class RelayPartnersTest {
   private static List<EntryInfo> entries(int count) {
     return IntStream.range(0, count)
@@ -43,7 +43,7 @@
       RelayPartners.of(entries(20), "near-" + i)
           .forEach(e -> chosen.merge(e.name(), 1, Integer::sum));
     }
-    // Three each on average; twice that and a little more is what chance gives.
+    // Three each on average; chance accounts for a little more than twice that.
     chosen.values().forEach(n -> assertThat(n, lessThanOrEqualTo(8)));
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/StateLeaseTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/StateLeaseTest.java
@@ -15,7 +15,7 @@
 class StateLeaseTest {
   private static final Duration VALIDITY = Duration.ofSeconds(3);
 
-  /** The clocks some time after the start, the time of day off by some more. */
+  /** Returns clock readings some time after the start, with the wall clock adjusted by a given step. */
   private static Clocks at(long steadyMillis, long stepMillis) {
     return new Clocks(
         Instant.ofEpochMilli(steadyMillis),
@@ -24,12 +24,12 @@
 
   static Stream<Arguments> checks() {
     return Stream.of(
-        Arguments.of("at once", 0, 0, true),
-        Arguments.of("just before its end", 2_999, 0, true),
-        Arguments.of("at its end", 3_000, 0, false),
-        Arguments.of("clocks drift a little", 1_000, 100, true),
-        Arguments.of("suspended meanwhile", 1_000, 4_000, false),
-        Arguments.of("time of day set back", 1_000, -4_000, false));
+        Arguments.of("immediately", 0, 0, true),
+        Arguments.of("just before it expires", 2_999, 0, true),
+        Arguments.of("when it expires", 3_000, 0, false),
+        Arguments.of("small clock drift", 1_000, 100, true),
+        Arguments.of("machine suspended in between", 1_000, 4_000, false),
+        Arguments.of("wall clock set back", 1_000, -4_000, false));
   }
 
   @ParameterizedTest(name = "{0}")
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/UpdateBufferTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/UpdateBufferTest.java
@@ -42,9 +42,9 @@
 
   static Stream<Arguments> digestTimes() {
     return Stream.of(
-        Arguments.of("news soon after a digest waits", work(report("a", true, 1)), false, 119, 120),
-        Arguments.of("urgent news waits less", work(report("a", false, 1)), true, 39, 40),
-        Arguments.of("no news makes a sign of life", News.NONE, false, 479, 480));
+        Arguments.of("updates wait for the digest interval", work(report("a", true, 1)), false, 119, 120),
+        Arguments.of("urgent updates wait for the urgent interval", work(report("a", false, 1)), true, 39, 40),
+        Arguments.of("an empty digest is sent as a heartbeat", News.NONE, false, 479, 480));
   }
 
   @ParameterizedTest(name = "{0}")
