--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/AggregatedUpdateChannel.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/AggregatedUpdateChannel.java
@@ -14,111 +14,114 @@
 import org.lacewingcroft.limit.EndpointRateLimit;
 
 /**
- * Sends an entry's updates to the aggregator of its region, which distributes them to all entries: one message out and one in per interval, regardless of the number of entries.
+ * Sends an entry's updates to the aggregator of its region, which distributes them to all entries:
+ * one message out and one in per interval, regardless of the number of entries.
  *
  * <p>Confined to the event loop thread.
  */
 final class AggregatedUpdateChannel implements UpdateChannel {
-  private static final long REPORT_MILLIS = 120;
+  private static final long REPORT_INTERVAL_MILLIS = 120;
 
-  /** Interval after which an unchanged load is reported again: other entries use a report for 1.5 s. */
-  private static final Duration REPEAT = Duration.ofSeconds(1);
+  /**
+   * Interval after which an unchanged load is reported again: other entries use a report for 1.5 s.
+   */
+  private static final Duration REPEAT_INTERVAL = Duration.ofSeconds(1);
 
   private final FleetSettings settings;
   private final FleetTransport transport;
-  private final AggregatorChoice aggregators;
+  private final AggregatorSelector aggregatorSelector;
   private final InstantSource clock;
   private final List<FleetMessage.PrefixRead> prefixes = new ArrayList<>();
-  private final Map<String, Long> quotaUses = new HashMap<>();
-  private List<Told> told = List.of();
-  private Instant toldAt = Instant.EPOCH;
+  private final Map<String, Long> quotaUsage = new HashMap<>();
+  private List<ReportedLoad> lastReported = List.of();
+  private Instant lastReportedAt = Instant.EPOCH;
 
   /** The load at an endpoint as last reported, without the age of its prompts. */
-  private record Told(
+  private record ReportedLoad(
       String endpoint,
       int running,
       int unreadPrompts,
       long unreadTokens,
       Optional<OptionalDouble> rate) {
-    private static Told of(FleetMessage.EndpointLoad load) {
+    private static ReportedLoad of(FleetMessage.EndpointLoad load) {
       long tokens =
           load.pendingPrompts().stream().mapToLong(FleetMessage.UnreadPrompt::tokens).sum();
-      return new Told(
+      return new ReportedLoad(
           load.endpoint(),
           load.running(),
           load.pendingPrompts().size(),
           tokens,
-          load.rate().map(EndpointRateLimit.Report::perSecond));
+          load.rateLimit().map(EndpointRateLimit.Report::perSecond));
     }
   }
 
   AggregatedUpdateChannel(
       FleetSettings settings,
       FleetTransport transport,
-      AggregatorChoice aggregators,
+      AggregatorSelector aggregatorSelector,
       InstantSource clock) {
     this.settings = settings;
     this.transport = transport;
-    this.aggregators = aggregators;
+    this.aggregatorSelector = aggregatorSelector;
     this.clock = clock;
   }
 
   @Override
-  public long pauseMillis() {
-    return REPORT_MILLIS;
+  public long reportIntervalMillis() {
+    return REPORT_INTERVAL_MILLIS;
   }
 
   @Override
-  public void work(LoadReport report, boolean urgent) {
+  public void sendLoad(LoadReport report, boolean urgent) {
     if (urgent) {
-      tell(new News(List.of(report), List.of(), List.of()), true);
+      send(new News(List.of(report), List.of(), List.of()), true);
       return;
     }
-    List<LoadReport> changed = changed(report) ? List.of(report) : List.of();
-    News news = new News(changed, List.copyOf(prefixes), List.of(), Map.copyOf(quotaUses));
+    List<LoadReport> changedLoads = recordIfChanged(report) ? List.of(report) : List.of();
+    News updates = new News(changedLoads, List.copyOf(prefixes), List.of(), Map.copyOf(quotaUsage));
     prefixes.clear();
-    quotaUses.clear();
-    if (!news.isEmpty()) {
-      tell(news, false);
+    quotaUsage.clear();
+    if (!updates.isEmpty()) {
+      send(updates, false);
     }
   }
 
-  private boolean changed(LoadReport report) {
+  private boolean recordIfChanged(LoadReport report) {
     Instant now = clock.instant();
-    List<Told> telling = report.loads().stream().map(Told::of).toList();
-    if (telling.equals(told) && toldAt.plus(REPEAT).isAfter(now)) {
+    List<ReportedLoad> current = report.loads().stream().map(ReportedLoad::of).toList();
+    if (current.equals(lastReported) && lastReportedAt.plus(REPEAT_INTERVAL).isAfter(now)) {
       return false;
     }
-    told = telling;
-    toldAt = now;
+    lastReported = current;
+    lastReportedAt = now;
     return true;
   }
 
   /** Quota usage is sent with the next load report. */
   @Override
-  public void quotaUses(Map<String, Long> uses) {
-    uses.forEach((name, use) -> quotaUses.merge(name, use, Long::sum));
+  public void sendQuotaUsage(Map<String, Long> usage) {
+    usage.forEach((name, used) -> quotaUsage.merge(name, used, Long::sum));
   }
 
   @Override
-  public void prefixRead(FleetMessage.PrefixRead read) {
+  public void sendPrefixRead(FleetMessage.PrefixRead read) {
     prefixes.add(read);
   }
 
   @Override
-  public void regionLoad(FleetMessage.RegionLoad load) {
-    tell(new News(List.of(), List.of(), List.of(load)), false);
+  public void sendRegionLoad(FleetMessage.RegionLoad load) {
+    send(new News(List.of(), List.of(), List.of(load)), false);
   }
 
-  private void tell(News news, boolean urgent) {
+  private void send(News updates, boolean urgent) {
     FleetMessage message =
-        new FleetMessage.EntryNews(settings.nodeName(), settings.region(), urgent, news);
+        new FleetMessage.EntryNews(settings.nodeName(), settings.region(), urgent, updates);
     Instant now = clock.instant();
-    aggregators
-        .current(now)
+    aggregatorSelector
+        .select(now)
         .ifPresent(
             aggregator -> {
-              aggregators.told(now);
+              aggregatorSelector.onUpdateSent(now);
               transport.send(aggregator, message);
             });
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
@@ -23,9 +23,13 @@
 import org.lacewingcroft.route.RouteTable;
 
 /**
- * A control instance of a fleet: maintains the roster of endpoints from their announcements, tracks the entries that accept requests, and holds the routing state in its {@link RoutingControl}.
+ * A control instance of a fleet: maintains the roster of endpoints from their announcements, tracks
+ * the entries that accept requests, and holds the routing state in its {@link RoutingControl}.
  *
- * <p>Announcements are forwarded to the other control instances in small batches. Changes of the roster are pushed to the entries immediately; the digest in each entry's report detects missed pushes. An endpoint's draining or deregistration is acknowledged only after a majority of the group has recorded it, so that the loss of any one instance does not lose it.
+ * <p>Announcements are forwarded to the other control instances in small batches. Changes of the
+ * roster are pushed to the entries immediately; the digest in each entry's report detects missed
+ * pushes. An endpoint's draining or deregistration is acknowledged only after a majority of the
+ * group has recorded it, so that the loss of any one instance does not lose it.
  *
  * <p>All state is confined to the event loop thread.
  */
@@ -33,31 +37,36 @@
   private static final System.Logger LOG = System.getLogger(ControlNode.class.getName());
 
   /** Interval at which announcements are forwarded. */
-  private static final long FLUSH_MILLIS = 100;
+  private static final long FLUSH_INTERVAL_MILLIS = 100;
 
   /** Interval at which control instances exchange hello messages and check leases. */
-  private static final long HELLO_MILLIS = 800;
+  private static final long HELLO_INTERVAL_MILLIS = 800;
 
   /** Time without a report after which an entry is not listed to callers. */
-  private static final Duration ENTRY_VALID = Duration.ofMillis(1_700);
+  private static final Duration ENTRY_TIMEOUT = Duration.ofMillis(1_700);
 
   /** The same for an entry that follows other control instances and so reports less often. */
-  private static final Duration DISTANT_ENTRY_VALID = Duration.ofSeconds(5);
+  private static final Duration NON_FOLLOWING_ENTRY_TIMEOUT = Duration.ofSeconds(5);
 
-  /** Time for which an entry must have been reporting without interruption before it receives a list of entries; by then, after a start or a network partition, its neighbours have reported as well. An earlier list would contain only a few of them, and each entry that receives it would assume that it is one of the few that may send to a cold endpoint. */
-  private static final Duration ENTRIES_HEARD = Duration.ofMillis(1_600);
+  /**
+   * Time for which an entry must have been reporting without interruption before it receives a list
+   * of entries; by then, after a start or a network partition, its neighbours have reported as
+   * well. An earlier list would contain only a few of them, and each entry that receives it would
+   * assume that it is one of the few that may send to a cold endpoint.
+   */
+  private static final Duration ENTRY_DISCOVERY_TIME = Duration.ofMillis(1_600);
 
   /** Time without a hello message after which a control instance is not listed to others. */
-  private static final Duration CONTROL_VALID = Duration.ofSeconds(10);
+  private static final Duration CONTROL_TIMEOUT = Duration.ofSeconds(10);
 
   /** Number of announcements that may be missed before an endpoint is marked as lost. */
   private static final int LEASE_HEARTBEATS = 4;
 
   /** Delay before a data folder that failed is opened again. */
-  private static final long REOPEN_MILLIS = 1_000;
+  private static final long REOPEN_DELAY_MILLIS = 1_000;
 
   /** Minimum interval between two complete rosters sent to one entry. */
-  private static final Duration WHOLE_PAUSE = Duration.ofMillis(900);
+  private static final Duration COMPLETE_ROSTER_INTERVAL = Duration.ofMillis(900);
 
   private final FleetSettings settings;
   private final InstantSource clock;
@@ -70,37 +79,37 @@
   private volatile RoutingControl control;
   private final OrderRelay orders;
   private final EndpointRoster roster = new EndpointRoster();
-  private final Map<String, SeenEntry> entries = new TreeMap<>();
-  private final Map<String, Instant> controls = new HashMap<>();
-  private final Map<String, EndpointRecord> outbox = new TreeMap<>();
-  private final LeavingConfirmations leaving;
+  private final Map<String, TrackedEntry> entries = new TreeMap<>();
+  private final Map<String, Instant> lastHelloAt = new HashMap<>();
+  private final Map<String, EndpointRecord> pendingAnnouncements = new TreeMap<>();
+  private final DepartureReplicator departures;
   private final UpdateAggregator aggregator;
   private final SuspicionExchange suspicions;
   private final Instant startedAt;
   private volatile List<String> seeds;
   private boolean hadMajority;
 
-  private static final class SeenEntry {
+  private static final class TrackedEntry {
     private EntryInfo info;
     private boolean ready;
     private boolean wantsLists;
-    private Instant heardSince;
-    private Instant at;
-    private Instant wholeSentAt = Instant.EPOCH;
+    private Instant reportingSince;
+    private Instant lastReportAt;
+    private Instant completeRosterSentAt = Instant.EPOCH;
 
-    private boolean live(Instant now) {
-      Duration valid = wantsLists ? ENTRY_VALID : DISTANT_ENTRY_VALID;
-      return at.plus(valid).isAfter(now);
+    private boolean isLive(Instant now) {
+      Duration timeout = wantsLists ? ENTRY_TIMEOUT : NON_FOLLOWING_ENTRY_TIMEOUT;
+      return lastReportAt.plus(timeout).isAfter(now);
     }
 
-    private void heard(FleetMessage.EntryReport report, Instant now) {
-      if (at == null || !live(now)) {
-        heardSince = now;
+    private void onReport(FleetMessage.EntryReport report, Instant now) {
+      if (lastReportAt == null || !isLive(now)) {
+        reportingSince = now;
       }
       info = report.entry();
       ready = report.ready();
       wantsLists = report.wantsUpdates();
-      at = now;
+      lastReportAt = now;
     }
   }
 
@@ -126,10 +135,14 @@
     this.seeds = settings.seedPeers();
     this.transport = new FleetTransport(context, settings);
     metrics.expose(transport.traffic());
-    this.leaving = new LeavingConfirmations(vertx, settings.peerAddress(), transport);
+    this.departures = new DepartureReplicator(vertx, settings.peerAddress(), transport);
     this.aggregator =
         new UpdateAggregator(
-            transport, clock, settings.peerAddress(), this::peersOfRegion, this::otherControls);
+            transport,
+            clock,
+            settings.peerAddress(),
+            this::entryPeersOfRegion,
+            this::otherControls);
     this.suspicions =
         new SuspicionExchange(
             vertx,
@@ -137,47 +150,52 @@
             transport,
             clock,
             this::otherControls,
-            () -> peers(e -> e.wantsLists),
+            () -> entryPeers(e -> e.wantsLists),
             new SuspicionStore(settings.dataDir().orElseThrow(), InstantSource.system()));
-    boolean founder = settings.firstStart() && seeds.contains(settings.peerAddress());
-    this.control = openControl(founder ? Set.copyOf(seeds) : Set.of());
+    boolean foundingMember = settings.firstStart() && seeds.contains(settings.peerAddress());
+    this.control = openControl(foundingMember ? Set.copyOf(seeds) : Set.of());
     this.orders =
         new OrderRelay(context, settings.peerAddress(), () -> this.control, transport, metrics);
   }
 
-  private RoutingControl openControl(Set<String> founders) throws IOException {
+  private RoutingControl openControl(Set<String> initialMembers) throws IOException {
     return new RoutingControl(
         settings.peerAddress(),
         settings.dataDir().orElseThrow(),
-        founders,
+        initialMembers,
         settings.toleratedFailures(),
         transport::send,
-        state -> context.runOnContext(v -> announceState(state)),
-        failure -> context.runOnContext(v -> reopenLater()));
+        state -> context.runOnContext(v -> publishState(state)),
+        failure -> context.runOnContext(v -> scheduleReopen()));
   }
 
-  /** Schedules attempts to reopen the data folder after it failed. Until one succeeds, this instance runs without its control group; then it holds only the state that the disk holds. A full or faulty disk thus disables one member of the group temporarily, but not its directory and roster. */
-  private void reopenLater() {
+  /**
+   * Schedules attempts to reopen the data folder after it failed. Until one succeeds, this instance
+   * runs without its control group; then it holds only the state that the disk holds. A full or
+   * faulty disk thus disables one member of the group temporarily, but not its directory and
+   * roster.
+   */
+  private void scheduleReopen() {
     vertx.setTimer(
-        REOPEN_MILLIS,
+        REOPEN_DELAY_MILLIS,
         id -> {
           try {
             control = openControl(Set.of());
           } catch (IOException | RuntimeException e) {
             LOG.log(System.Logger.Level.WARNING, "control.data_folder_unusable", e);
-            reopenLater();
+            scheduleReopen();
           }
         });
   }
 
   /** Starts listening and sending hello messages. */
   public Future<Void> start() {
-    vertx.setPeriodic(FLUSH_MILLIS, id -> flush());
-    vertx.setPeriodic(HELLO_MILLIS, id -> hello());
+    vertx.setPeriodic(FLUSH_INTERVAL_MILLIS, id -> flushAnnouncements());
+    vertx.setPeriodic(HELLO_INTERVAL_MILLIS, id -> sendHello());
     aggregator.start(vertx);
     return transport
         .listen(this::receive, (from, message) -> control.receive(from, message))
-        .onSuccess(port -> hello())
+        .onSuccess(port -> sendHello())
         .mapEmpty();
   }
 
@@ -212,28 +230,28 @@
    * @return whether it may be acknowledged; if not, the endpoint should try another instance
    */
   public Future<Boolean> announce(EndpointRecord record) {
-    return take(record)
+    return applyAnnouncement(record)
         .onSuccess(
             acknowledged ->
                 metrics.announcements.labelValues(Boolean.toString(acknowledged)).inc());
   }
 
-  private Future<Boolean> take(EndpointRecord record) {
-    Optional<EndpointRecord> changed = heard(record, clock.instant());
-    changed.ifPresent(c -> RosterLog.changed(c, "announcement"));
+  private Future<Boolean> applyAnnouncement(EndpointRecord record) {
+    Optional<EndpointRecord> changed = applyToRoster(record, clock.instant());
+    changed.ifPresent(c -> RosterLog.logStateChange(c, "announcement"));
     if (record.state() == EndpointState.READY) {
-      outbox.put(record.id(), record);
-      changed.ifPresent(c -> pushToReliant(List.of(c)));
+      pendingAnnouncements.put(record.id(), record);
+      changed.ifPresent(c -> pushToFollowers(List.of(c)));
       return Future.succeededFuture(control.view().inMajority());
     }
-    return confirmLeaving(record, changed.isPresent());
+    return replicateDeparture(record, changed.isPresent());
   }
 
-  private Optional<EndpointRecord> heard(EndpointRecord record, Instant now) {
+  private Optional<EndpointRecord> applyToRoster(EndpointRecord record, Instant now) {
     Optional<EndpointRecord> before = roster.find(record.id());
     Optional<EndpointRecord> changed = roster.applyAnnouncement(record, now);
     if (before.filter(record::recoversFrom).isPresent()) {
-      changed.ifPresent(suspicions::returned);
+      changed.ifPresent(suspicions::endpointRecovered);
     }
     return changed;
   }
@@ -242,29 +260,34 @@
    * Applies an endpoint's deregistration.
    *
    * @param id its id
-   * @param startedAtMillis start of the incarnation that deregisters; 0 if not given, which stands for the recorded incarnation
+   * @param startedAtMillis start of the incarnation that deregisters; 0 if not given, which stands
+   *     for the recorded incarnation
    * @return whether it may be acknowledged; if not, the endpoint should try another instance
    */
   public Future<Boolean> deregister(String id, long startedAtMillis) {
-    EndpointRecord gone =
+    EndpointRecord deregistered =
         roster
             .find(id)
             .filter(r -> startedAtMillis == 0 || startedAtMillis == r.startedAtMillis())
             .map(r -> r.withState(EndpointState.GONE))
-            .orElseGet(() -> unknownGone(id, startedAtMillis));
-    boolean changed = roster.applyAnnouncement(gone, clock.instant()).isPresent();
+            .orElseGet(() -> deregisteredRecord(id, startedAtMillis));
+    boolean changed = roster.applyAnnouncement(deregistered, clock.instant()).isPresent();
     if (changed) {
-      RosterLog.changed(gone, "left");
+      RosterLog.logStateChange(deregistered, "left");
     }
-    return confirmLeaving(gone, changed);
+    return replicateDeparture(deregistered, changed);
   }
 
-  private static EndpointRecord unknownGone(String id, long startedAtMillis) {
+  private static EndpointRecord deregisteredRecord(String id, long startedAtMillis) {
     return new EndpointRecord(
         id, startedAtMillis, "", "", "", 0, EndpointState.GONE, Long.MAX_VALUE, 0);
   }
 
-  /** Returns whether announcements of a service are accepted: the active routing document contains the service, or no document is active yet, or the endpoint was accepted before its service was removed. */
+  /**
+   * Returns whether announcements of a service are accepted: the active routing document contains
+   * the service, or no document is active yet, or the endpoint was accepted before its service was
+   * removed.
+   */
   public boolean acceptsAnnouncementsOf(String service, String endpointId) {
     RouteTable table = routes();
     return table.version() == 0
@@ -272,12 +295,12 @@
         || roster.find(endpointId).filter(r -> r.service().equals(service)).isPresent();
   }
 
-  private Future<Boolean> confirmLeaving(EndpointRecord record, boolean changed) {
-    outbox.put(record.id(), record);
+  private Future<Boolean> replicateDeparture(EndpointRecord record, boolean changed) {
+    pendingAnnouncements.put(record.id(), record);
     if (changed) {
       pushToAll(List.of(record));
     }
-    return leaving.confirm(record, control.view().members());
+    return departures.replicate(record, control.view().members());
   }
 
   /**
@@ -287,8 +310,8 @@
    * @param region the caller's region
    * @param limit maximum number of addresses
    */
-  public List<String> entriesFor(String host, String region, int most) {
-    return DirectoryChoice.of(readyEntries(), region, routes().homesOf(host), most);
+  public List<String> entriesFor(String host, String region, int limit) {
+    return DirectorySelector.select(readyEntries(), region, routes().homesOf(host), limit);
   }
 
   /** Returns the active routes, parsing the document again only when its version has changed. */
@@ -302,12 +325,15 @@
 
   private List<EntryInfo> readyEntries() {
     Instant now = clock.instant();
-    return entries.values().stream().filter(e -> e.ready && e.live(now)).map(e -> e.info).toList();
+    return entries.values().stream()
+        .filter(e -> e.ready && e.isLive(now))
+        .map(e -> e.info)
+        .toList();
   }
 
-  private List<String> peersOfRegion(String region) {
+  private List<String> entryPeersOfRegion(String region) {
     Instant now = clock.instant();
-    return peers(e -> e.live(now) && e.info.region().equals(region));
+    return entryPeers(e -> e.isLive(now) && e.info.region().equals(region));
   }
 
   private List<String> otherControls() {
@@ -316,31 +342,31 @@
 
   private void receive(FleetMessage message) {
     if (message instanceof FleetMessage.EntryReport report) {
-      reported(report);
+      onEntryReport(report);
     } else if (message instanceof FleetMessage.EntryNews news) {
-      aggregator.heard(news);
+      aggregator.onUpdates(news);
     } else if (message instanceof FleetMessage.RemoteNews news) {
-      aggregator.heard(news);
+      aggregator.onUpdates(news);
     } else if (message instanceof FleetMessage.ControlHello hello) {
-      greeted(hello);
+      onControlHello(hello);
     } else if (message instanceof FleetMessage.RosterUpdate update) {
-      updated(update);
+      onRosterUpdate(update);
     } else if (message instanceof FleetMessage.RosterAck ack) {
-      leaving.acknowledged(ack);
+      departures.onRosterAck(ack);
     } else if (message instanceof FleetMessage.StateRequest request) {
-      offerState(request.from());
+      sendState(request.from());
     } else if (message instanceof FleetMessage.ControlCall call) {
-      orders.called(call);
+      orders.onControlCall(call);
     } else if (message instanceof FleetMessage.ControlReply reply) {
-      orders.replied(reply);
+      orders.onControlReply(reply);
     } else if (message instanceof FleetMessage.SuspicionUpdate update) {
-      suspicions.heard(update);
+      suspicions.onSuspicionUpdate(update);
     }
   }
 
-  private void reported(FleetMessage.EntryReport report) {
-    SeenEntry seen = entries.computeIfAbsent(report.entry().name(), n -> new SeenEntry());
-    if (seen.info == null || report.ready() != seen.ready) {
+  private void onEntryReport(FleetMessage.EntryReport report) {
+    TrackedEntry tracked = entries.computeIfAbsent(report.entry().name(), n -> new TrackedEntry());
+    if (tracked.info == null || report.ready() != tracked.ready) {
       LOG.log(
           System.Logger.Level.INFO,
           "entry.changed",
@@ -350,50 +376,55 @@
           report.ready());
     }
     Instant now = clock.instant();
-    seen.heard(report, now);
+    tracked.onReport(report, now);
     String peer = report.entry().peerAddress();
     // Sent before the heartbeat reply, on which an entry that has just started becomes ready.
     suspicions.compare(report);
-    transport.send(peer, pulse(report.reportId()));
+    transport.send(peer, controlPulse(report.reportId()));
     if (report.wantsUpdates()) {
-      sendDifferences(seen, report, now);
+      sendDifferences(tracked, report, now);
     }
   }
 
   /** Sends the roster and the list of entries if the digests in the entry's report differ. */
-  private void sendDifferences(SeenEntry seen, FleetMessage.EntryReport report, Instant now) {
+  private void sendDifferences(TrackedEntry tracked, FleetMessage.EntryReport report, Instant now) {
     String peer = report.entry().peerAddress();
-    boolean settled = settled(now);
+    boolean discoveryComplete = isDiscoveryComplete(now);
     if (report.rosterDigest() != roster.digest()
-        && seen.wholeSentAt.plus(WHOLE_PAUSE).isBefore(now)) {
-      seen.wholeSentAt = now;
+        && tracked.completeRosterSentAt.plus(COMPLETE_ROSTER_INTERVAL).isBefore(now)) {
+      tracked.completeRosterSentAt = now;
       transport.send(
           peer,
           new FleetMessage.RosterUpdate(
               settings.peerAddress(),
               0,
-              settled && control.view().inMajority(),
+              discoveryComplete && control.view().inMajority(),
               List.copyOf(roster.records(now))));
     }
     List<EntryInfo> ready = readyEntries();
-    boolean knowsNone = report.entriesDigest() == EntryNode.entriesDigest(List.of());
-    boolean heardAll = settled && seen.heardSince.plus(ENTRIES_HEARD).isBefore(now);
-    if ((heardAll || knowsNone) && report.entriesDigest() != EntryNode.entriesDigest(ready)) {
+    boolean entryKnowsNone = report.entriesDigest() == EntryNode.entriesDigest(List.of());
+    boolean listComplete =
+        discoveryComplete && tracked.reportingSince.plus(ENTRY_DISCOVERY_TIME).isBefore(now);
+    if ((listComplete || entryKnowsNone)
+        && report.entriesDigest() != EntryNode.entriesDigest(ready)) {
       transport.send(peer, new FleetMessage.EntryList(settings.peerAddress(), ready));
     }
   }
 
-  /** Returns whether this instance has run long enough to have received an announcement of every endpoint. */
-  private boolean settled(Instant now) {
+  /**
+   * Returns whether this instance has run long enough to have received an announcement of every
+   * endpoint.
+   */
+  private boolean isDiscoveryComplete(Instant now) {
     return startedAt.plus(settings.endpointHeartbeat().multipliedBy(2)).isBefore(now);
   }
 
-  private FleetMessage.ControlPulse pulse(long questionId) {
+  private FleetMessage.ControlPulse controlPulse(long questionId) {
     return new FleetMessage.ControlPulse(
         settings.peerAddress(),
         settings.region(),
         control.view().inMajority(),
-        settled(clock.instant()),
+        isDiscoveryComplete(clock.instant()),
         control.view().routing().revision(),
         suspicions.quarantineDigest(),
         knownControls(),
@@ -402,19 +433,19 @@
 
   private List<String> knownControls() {
     Set<String> known = new TreeSet<>(control.view().members());
-    known.addAll(controls.keySet());
+    known.addAll(lastHelloAt.keySet());
     known.add(settings.peerAddress());
     return List.copyOf(known);
   }
 
-  private void hello() {
+  private void sendHello() {
     Instant now = clock.instant();
-    controls.values().removeIf(at -> at.plus(CONTROL_VALID).isBefore(now));
-    entries.values().removeIf(e -> e.at.plus(CONTROL_VALID).isBefore(now));
+    lastHelloAt.values().removeIf(at -> at.plus(CONTROL_TIMEOUT).isBefore(now));
+    entries.values().removeIf(e -> e.lastReportAt.plus(CONTROL_TIMEOUT).isBefore(now));
     Set<String> targets = new TreeSet<>(knownControls());
     targets.addAll(seeds);
     targets.remove(settings.peerAddress());
-    suspicions.maintain();
+    suspicions.expireAndSave();
     FleetMessage hello =
         new FleetMessage.ControlHello(
             settings.peerAddress(), suspicions.recurringDigest(), knownControls());
@@ -423,36 +454,36 @@
   }
 
   private void expireLeases(Instant now) {
-    boolean majority = control.view().inMajority();
-    if (majority && !hadMajority) {
-      roster.renewAll(now);
+    boolean inMajority = control.view().inMajority();
+    if (inMajority && !hadMajority) {
+      roster.renewAllLeases(now);
     }
-    hadMajority = majority;
-    if (majority) {
+    hadMajority = inMajority;
+    if (inMajority) {
       Duration lease = settings.endpointHeartbeat().multipliedBy(LEASE_HEARTBEATS);
       List<EndpointRecord> lost = roster.expire(now, lease);
-      lost.forEach(r -> RosterLog.changed(r, "lease expired"));
+      lost.forEach(r -> RosterLog.logStateChange(r, "lease expired"));
       if (!lost.isEmpty()) {
-        pushToReliant(lost);
+        pushToFollowers(lost);
       }
     }
   }
 
-  private void greeted(FleetMessage.ControlHello hello) {
-    controls.put(hello.from(), clock.instant());
+  private void onControlHello(FleetMessage.ControlHello hello) {
+    lastHelloAt.put(hello.from(), clock.instant());
     control.admit(hello.from());
     suspicions.compare(hello);
   }
 
-  private void updated(FleetMessage.RosterUpdate update) {
+  private void onRosterUpdate(FleetMessage.RosterUpdate update) {
     Instant now = clock.instant();
     List<EndpointRecord> changed = new ArrayList<>();
     for (EndpointRecord record : update.records()) {
-      heard(record, now).ifPresent(changed::add);
+      applyToRoster(record, now).ifPresent(changed::add);
     }
     if (!changed.isEmpty()) {
-      changed.forEach(c -> RosterLog.changed(c, update.from()));
-      pushToReliant(changed);
+      changed.forEach(c -> RosterLog.logStateChange(c, update.from()));
+      pushToFollowers(changed);
     }
     if (update.callId() != 0) {
       transport.send(
@@ -460,33 +491,40 @@
     }
   }
 
-  /** Sends records to every entry, including those that follow other control instances: after a deregistration or the start of draining is acknowledged, no entry may send requests to the endpoint, regardless of what the control instances it follows have received. */
+  /**
+   * Sends records to every entry, including those that follow other control instances: after a
+   * deregistration or the start of draining is acknowledged, no entry may send requests to the
+   * endpoint, regardless of what the control instances it follows have received.
+   */
   private void pushToAll(List<EndpointRecord> records) {
-    transport.sendAll(peers(e -> true), rosterUpdate(records));
+    transport.sendAll(entryPeers(e -> true), rosterUpdate(records));
   }
 
-  /** Sends changed records to the entries that follow this instance. Each control instance does so when it receives them. */
-  private void pushToReliant(List<EndpointRecord> records) {
-    transport.sendAll(peers(e -> e.wantsLists), rosterUpdate(records));
+  /**
+   * Sends changed records to the entries that follow this instance. Each control instance does so
+   * when it receives them.
+   */
+  private void pushToFollowers(List<EndpointRecord> records) {
+    transport.sendAll(entryPeers(e -> e.wantsLists), rosterUpdate(records));
   }
 
   private FleetMessage rosterUpdate(List<EndpointRecord> records) {
     return new FleetMessage.RosterUpdate(settings.peerAddress(), 0, false, records);
   }
 
-  private List<String> peers(Predicate<SeenEntry> which) {
-    return entries.values().stream().filter(which).map(e -> e.info.peerAddress()).toList();
+  private List<String> entryPeers(Predicate<TrackedEntry> filter) {
+    return entries.values().stream().filter(filter).map(e -> e.info.peerAddress()).toList();
   }
 
-  private void flush() {
-    if (outbox.isEmpty()) {
+  private void flushAnnouncements() {
+    if (pendingAnnouncements.isEmpty()) {
       return;
     }
-    transport.sendAll(otherControls(), rosterUpdate(List.copyOf(outbox.values())));
-    outbox.clear();
+    transport.sendAll(otherControls(), rosterUpdate(List.copyOf(pendingAnnouncements.values())));
+    pendingAnnouncements.clear();
   }
 
-  private void announceState(RoutingState state) {
+  private void publishState(RoutingState state) {
     LOG.log(
         System.Logger.Level.INFO,
         "routing.in_force",
@@ -496,10 +534,10 @@
         state.version(),
         "evacuated",
         state.evacuatedDomains());
-    transport.sendAll(peers(e -> e.wantsLists), pulse(0));
+    transport.sendAll(entryPeers(e -> e.wantsLists), controlPulse(0));
   }
 
-  private void offerState(String peer) {
+  private void sendState(String peer) {
     RoutingState state = control.view().routing();
     transport.send(
         peer,
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/CrashProbe.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/CrashProbe.java
@@ -10,20 +10,25 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Checks whether an endpoint that closed a connection during a request has crashed. Connections are closed for many reasons, but only a port without a listener refuses new ones. A TCP reset caused on the network path can make one attempt look refused, so two consecutive refusals are required.
+ * Checks whether an endpoint that closed a connection during a request has crashed. Connections are
+ * closed for many reasons, but only a port without a listener refuses new ones. A TCP reset caused
+ * on the network path can make one attempt look refused, so two consecutive refusals are required.
  *
  * <p>Thread-safe.
  */
 public final class CrashProbe {
-  /** Delay before each attempt: a crashing endpoint closes its connections and its port at about the same time. */
-  private static final long PAUSE_MILLIS = 30;
+  /**
+   * Delay before each attempt: a crashing endpoint closes its connections and its port at about the
+   * same time.
+   */
+  private static final long ATTEMPT_DELAY_MILLIS = 30;
 
   private static final int CONNECT_TIMEOUT_MILLIS = 300;
   private static final int ATTEMPTS = 2;
 
   private final Vertx vertx;
   private final NetClient client;
-  private final Map<SocketAddress, Future<Boolean>> running = new ConcurrentHashMap<>();
+  private final Map<SocketAddress, Future<Boolean>> inProgress = new ConcurrentHashMap<>();
 
   /** Creates a probe with no checks in progress. */
   public CrashProbe(Vertx vertx) {
@@ -38,19 +43,19 @@
    * @return whether it refuses new connections; false if that cannot be determined
    */
   public Future<Boolean> hasCrashed(SocketAddress address) {
-    return running.computeIfAbsent(
+    return inProgress.computeIfAbsent(
         address,
         a -> {
-          Future<Boolean> verdict = refuses(a, ATTEMPTS);
-          verdict.onComplete(done -> running.remove(a));
-          return verdict;
+          Future<Boolean> result = refusesConnections(a, ATTEMPTS);
+          result.onComplete(done -> inProgress.remove(a));
+          return result;
         });
   }
 
-  private Future<Boolean> refuses(SocketAddress address, int attempts) {
+  private Future<Boolean> refusesConnections(SocketAddress address, int attempts) {
     return vertx
-        .timer(PAUSE_MILLIS)
-        .compose(paused -> client.connect(address))
+        .timer(ATTEMPT_DELAY_MILLIS)
+        .compose(delayed -> client.connect(address))
         .compose(
             socket -> socket.close().map(false),
             e ->
@@ -58,7 +63,7 @@
                     ? Future.succeededFuture(false)
                     : attempts == 1
                         ? Future.succeededFuture(true)
-                        : refuses(address, attempts - 1));
+                        : refusesConnections(address, attempts - 1));
   }
 
   /** Returns whether a connection was refused; timeouts have the same exception type. */
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/DirectUpdateChannel.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/DirectUpdateChannel.java
@@ -5,16 +5,31 @@
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 
-/** Sends an entry's updates directly to every other entry. This has the lowest latency and needs no control instance, but an entry's work grows with the number of entries: it is used in small fleets, and in a region from which no control instance is reachable. */
+/**
+ * Sends an entry's updates directly to every other entry. This has the lowest latency and needs no
+ * control instance, but an entry's work grows with the number of entries: it is used in small
+ * fleets, and in a region from which no control instance is reachable.
+ */
 final class DirectUpdateChannel implements UpdateChannel {
-  /** Interval at which the entries of a region exchange load reports, about the prefill time of a short prompt. */
-  private static final long REPORT_MILLIS = 120;
+  /**
+   * Interval at which the entries of a region exchange load reports, about the prefill time of a
+   * short prompt.
+   */
+  private static final long REPORT_INTERVAL_MILLIS = 120;
 
-  /** Maximum number of such reports that an entry sends per second; it receives as many. With 20 neighbours that is one every 330 ms to each; one every {@link #REPORT_INTERVAL_MILLIS} would be 167 out and 167 in per second. */
-  private static final int REPORTS_PER_SECOND = 60;
+  /**
+   * Maximum number of such reports that an entry sends per second; it receives as many. With 20
+   * neighbours that is one every 330 ms to each; one every {@link #REPORT_INTERVAL_MILLIS} would be
+   * 167 out and 167 in per second.
+   */
+  private static final int MAX_REPORTS_PER_SECOND = 60;
 
-  /** Number of entries of a region up to which {@link #MAX_REPORTS_PER_SECOND} does not increase the report interval. */
-  static final int MOST_ENTRIES = (int) (REPORTS_PER_SECOND * REPORT_MILLIS / 1_000) + 1;
+  /**
+   * Number of entries of a region up to which {@link #MAX_REPORTS_PER_SECOND} does not increase the
+   * report interval.
+   */
+  static final int MAX_ENTRIES_PER_REGION =
+      (int) (MAX_REPORTS_PER_SECOND * REPORT_INTERVAL_MILLIS / 1_000) + 1;
 
   private final FleetSettings settings;
   private final FleetTransport transport;
@@ -28,40 +43,40 @@
   }
 
   @Override
-  public long pauseMillis() {
+  public long reportIntervalMillis() {
     long neighbours = entries.get().stream().filter(this::isNeighbour).count();
-    return Math.max(REPORT_MILLIS, neighbours * 1_000L / REPORTS_PER_SECOND);
+    return Math.max(REPORT_INTERVAL_MILLIS, neighbours * 1_000L / MAX_REPORTS_PER_SECOND);
   }
 
   @Override
-  public void work(FleetMessage.LoadReport report, boolean urgent) {
-    tell(report, this::isNeighbour);
+  public void sendLoad(FleetMessage.LoadReport report, boolean urgent) {
+    send(report, this::isNeighbour);
   }
 
   @Override
-  public void quotaUses(Map<String, Long> uses) {
-    FleetMessage.News news =
-        new FleetMessage.News(List.of(), List.of(), List.of(), Map.copyOf(uses));
-    tell(
-        new FleetMessage.EntryNews(settings.nodeName(), settings.region(), false, news),
+  public void sendQuotaUsage(Map<String, Long> usage) {
+    FleetMessage.News updates =
+        new FleetMessage.News(List.of(), List.of(), List.of(), Map.copyOf(usage));
+    send(
+        new FleetMessage.EntryNews(settings.nodeName(), settings.region(), false, updates),
         e -> !e.name().equals(settings.nodeName()));
   }
 
   @Override
-  public void prefixRead(FleetMessage.PrefixRead read) {
-    tell(read, e -> !e.name().equals(settings.nodeName()));
+  public void sendPrefixRead(FleetMessage.PrefixRead read) {
+    send(read, e -> !e.name().equals(settings.nodeName()));
   }
 
   @Override
-  public void regionLoad(FleetMessage.RegionLoad load) {
-    tell(load, e -> !e.region().equals(settings.region()));
+  public void sendRegionLoad(FleetMessage.RegionLoad load) {
+    send(load, e -> !e.region().equals(settings.region()));
   }
 
   private boolean isNeighbour(EntryInfo entry) {
     return entry.region().equals(settings.region()) && !entry.name().equals(settings.nodeName());
   }
 
-  private void tell(FleetMessage message, Predicate<EntryInfo> receivers) {
+  private void send(FleetMessage message, Predicate<EntryInfo> receivers) {
     transport.sendAll(
         entries.get().stream().filter(receivers).map(EntryInfo::peerAddress).toList(), message);
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
@@ -30,7 +30,9 @@
 import org.lacewingcroft.route.ServiceSpec;
 
 /**
- * An entry of a fleet with the state that it has received: the routing state, the endpoints with their load, the other entries and the control instances. It reports to every control instance it knows, applies their updates, and continues with its current state while none is reachable.
+ * An entry of a fleet with the state that it has received: the routing state, the endpoints with
+ * their load, the other entries and the control instances. It reports to every control instance it
+ * knows, applies their updates, and continues with its current state while none is reachable.
  *
  * <p>All state is confined to the event loop thread.
  */
@@ -38,28 +40,39 @@
   private static final System.Logger LOG = System.getLogger(EntryNode.class.getName());
 
   /** Interval at which an entry reports to the control instances. */
-  private static final long REPORT_MILLIS = 500;
+  private static final long REPORT_INTERVAL_MILLIS = 500;
 
-  /** Each report with a number divisible by this goes to all control instances, the others only to those that the entry follows. */
-  private static final int REPORTS_BETWEEN = 3;
+  /**
+   * Each report with a number divisible by this goes to all control instances, the others only to
+   * those that the entry follows.
+   */
+  private static final int REPORTS_PER_BROADCAST = 3;
 
-  /** Time without a reply from any control instance after which the entry also reports to the seed peers. */
-  private static final Duration CONTROL_SILENCE = Duration.ofSeconds(2);
+  /**
+   * Time without a reply from any control instance after which the entry also reports to the seed
+   * peers.
+   */
+  private static final Duration CONTROL_TIMEOUT = Duration.ofSeconds(2);
 
   /** Minimum interval between two requests for the routing state. */
-  private static final Duration REQUEST_PAUSE = Duration.ofMillis(400);
+  private static final Duration STATE_REQUEST_INTERVAL = Duration.ofMillis(400);
 
-  /** Added to a service's warm-up when an evacuation ends, to cover the delay of the routing update. */
-  private static final Duration RETURN_SLACK = Duration.ofSeconds(1);
+  /**
+   * Added to a service's warm-up when an evacuation ends, to cover the delay of the routing update.
+   */
+  private static final Duration EVACUATION_END_MARGIN = Duration.ofSeconds(1);
 
   /** Share of an endpoint's connections that all entries together use. */
   private static final double CONNECTION_SHARE = 0.8;
 
-  /** Length of the state lease, as a share of the time for which a revoked key may still be accepted. */
+  /**
+   * Length of the state lease, as a share of the time for which a revoked key may still be
+   * accepted.
+   */
   private static final double LEASE_SHARE = 0.6;
 
   /** Share of a cold endpoint's rate bound that the entries use together. */
-  private static final double COLD_SHARE = 0.5;
+  private static final double COLD_RATE_SHARE = 0.5;
 
   private final FleetSettings settings;
   private final EntryInfo self;
@@ -67,16 +80,16 @@
   private final Vertx vertx;
   private final FleetTransport transport;
   private final RouteDocumentParser parser;
-  private final TrackedEndpoints endpoints = new TrackedEndpoints(new EndpointChanges());
+  private final TrackedEndpoints endpoints = new TrackedEndpoints(new EndpointListener());
   private final RegionLoads regionLoads = new RegionLoads();
   private final UnreachableEntries unreachable = new UnreachableEntries();
-  private final AggregatorChoice aggregators;
-  private final UpdateChannel direct;
-  private final UpdateChannel aggregated;
+  private final AggregatorSelector aggregatorSelector;
+  private final UpdateChannel directChannel;
+  private final UpdateChannel aggregatedChannel;
   private final LoadExchange loads;
   private final PrefixExchange prefixes;
   private final ExtraSendBudget extraSends;
-  private final ControlContacts contacts;
+  private final ControlInstanceTracker controlTracker;
   private final RequestQuarantine quarantine;
   private final Instant startedAt;
   private final StateLease lease;
@@ -88,29 +101,29 @@
   private List<String> regionEntryNames;
   private boolean largeFleet;
   private volatile RoutingView routing = RoutingView.NONE;
-  private Instant requestedAt = Instant.EPOCH;
+  private Instant stateRequestedAt = Instant.EPOCH;
   private boolean rosterKnown;
-  private boolean reachedControl;
-  private Optional<String> newsThrough = Optional.empty();
-  private long reports;
-  private boolean stopping;
-  private boolean toldReady;
+  private boolean controlReached;
+  private Optional<String> currentAggregator = Optional.empty();
+  private long reportCount;
+  private boolean shuttingDown;
+  private boolean readyReported;
 
   /** Logs endpoint changes and forwards crashes and recoveries to the quarantine. */
-  private final class EndpointChanges implements TrackedEndpoints.Listener {
+  private final class EndpointListener implements TrackedEndpoints.Listener {
     @Override
     public void changed(EndpointRecord record, String cause) {
-      RosterLog.changed(record, cause);
+      RosterLog.logStateChange(record, cause);
     }
 
     @Override
     public void incarnationLost(EndpointTracker endpoint) {
-      quarantine.ended(endpoint.record(), endpoint.lastByteAt());
+      quarantine.endpointCrashed(endpoint.record(), endpoint.lastByteAt());
     }
 
     @Override
     public void incarnationReturned(EndpointRecord record) {
-      quarantine.returned(record);
+      quarantine.endpointRecovered(record);
     }
   }
 
@@ -132,10 +145,11 @@
     this.seeds = settings.seedPeers();
     this.transport = new FleetTransport(context, settings);
     this.quotas = new FleetQuotas(startedAt);
-    this.contacts = new ControlContacts(settings.region());
-    this.aggregators = new AggregatorChoice(settings.region());
-    this.direct = new DirectUpdateChannel(settings, transport, () -> this.entries);
-    this.aggregated = new AggregatedUpdateChannel(settings, transport, aggregators, clock);
+    this.controlTracker = new ControlInstanceTracker(settings.region());
+    this.aggregatorSelector = new AggregatorSelector(settings.region());
+    this.directChannel = new DirectUpdateChannel(settings, transport, () -> this.entries);
+    this.aggregatedChannel =
+        new AggregatedUpdateChannel(settings, transport, aggregatorSelector, clock);
     this.loads =
         new LoadExchange(
             vertx,
@@ -144,7 +158,7 @@
             clock,
             endpoints::trackers,
             endpoints::tracker,
-            this::newsChannel,
+            this::updateChannel,
             quotas);
     this.prefixes =
         new PrefixExchange(
@@ -153,7 +167,7 @@
             clock,
             endpoints::trackers,
             endpoints::tracker,
-            this::newsChannel,
+            this::updateChannel,
             service -> this.routing.table().engine(service));
     this.quarantine =
         new RequestQuarantine(
@@ -162,24 +176,27 @@
             settings.peerAddress(),
             transport,
             clock,
-            this::nearControls,
+            this::followedControls,
             this::entryNames);
     FleetBounds bounds = settings.bounds();
-    this.lease = new StateLease(leaseOf(bounds));
+    this.lease = new StateLease(leaseLength(bounds));
     this.extraSends =
         new ExtraSendBudget(
             bounds.extraSendRatio(), bounds.extraSendSlack(), bounds.extraSendWindow());
   }
 
-  /** Returns the length of the state lease. The rest of the revocation delay is left for control instances to detect that they are themselves disconnected. */
-  private static Duration leaseOf(FleetBounds bounds) {
+  /**
+   * Returns the length of the state lease. The rest of the revocation delay is left for control
+   * instances to detect that they are themselves disconnected.
+   */
+  private static Duration leaseLength(FleetBounds bounds) {
     long millis = bounds.revocationDelay().map(Duration::toMillis).orElse(0L);
     return Duration.ofMillis(Math.round(millis * LEASE_SHARE));
   }
 
   /** Starts listening to peers and reporting. */
   public Future<Void> start() {
-    vertx.setPeriodic(REPORT_MILLIS, id -> report());
+    vertx.setPeriodic(REPORT_INTERVAL_MILLIS, id -> report());
     loads.start();
     return transport
         .listen(this::receive, (from, message) -> {})
@@ -194,23 +211,28 @@
 
   /** Stops accepting requests and reports it to the control instances immediately. */
   public void beginShutdown() {
-    stopping = true;
+    shuttingDown = true;
     report();
   }
 
   /** Returns whether callers may be directed to this entry. */
   public boolean ready() {
-    return !stopping && routing.revision() > 0 && (rosterKnown || !endpoints.trackers().isEmpty());
+    return !shuttingDown
+        && routing.revision() > 0
+        && (rosterKnown || !endpoints.trackers().isEmpty());
   }
 
-  /** Returns whether this entry has just started and may not have received all endpoints yet, so that a request for which it knows none is worth a short wait. */
+  /**
+   * Returns whether this entry has just started and may not have received all endpoints yet, so
+   * that a request for which it knows none is worth a short wait.
+   */
   public boolean discoveringEndpoints() {
     return startedAt.plus(settings.endpointHeartbeat().multipliedBy(3)).isAfter(clock.instant());
   }
 
   /** Returns whether this entry is shutting down. */
   public boolean isStopping() {
-    return stopping;
+    return shuttingDown;
   }
 
   /** Returns the active routing state. */
@@ -219,7 +241,8 @@
   }
 
   /**
-   * Consumes one extra send from the budget of a service if there is one left. Extra sends are all sends of a request after the first.
+   * Consumes one extra send from the budget of a service if there is one left. Extra sends are all
+   * sends of a request after the first.
    *
    * @return whether the extra send is allowed
    */
@@ -281,33 +304,36 @@
    */
   public Placement place(
       PlacementRequest request,
-      boolean mayLeave,
+      boolean allowOtherRegions,
       Set<String> allowedRegions,
-      Set<String> passedOverRegions) {
+      Set<String> excludedRegions) {
     Optional<ServiceSpec> spec = routing.table().service(request.service());
     Optional<ServiceSpec.Engine> engine = spec.flatMap(ServiceSpec::engine);
-    List<String> near = regionEntryNames;
-    Placer placer = new Placer(coldOwners(spec), ThreadLocalRandom.current());
+    List<String> regionEntries = regionEntryNames;
+    Placer placer = new Placer(coldSenders(spec), ThreadLocalRandom.current());
     List<EndpointTracker> all = endpointsOf(request.service());
     return placer.place(
         request,
         new Placer.Context(
             all.stream().filter(t -> settings.inOwnRegion(t.record().failureDomain())).toList(),
             self.name(),
-            near,
-            ownLimit(spec, near.size()),
-            mayLeave ? Optional.of(regionLoads) : Optional.empty(),
+            regionEntries,
+            maxInFlightPerEndpoint(spec, regionEntries.size()),
+            allowOtherRegions ? Optional.of(regionLoads) : Optional.empty(),
             allowedRegions,
-            passedOverRegions,
+            excludedRegions,
             settings.region(),
-            engine.isPresent() ? prefixHolders(all, allowedRegions) : List.of(),
+            engine.isPresent() ? prefixSources(all, allowedRegions) : List.of(),
             engine,
             settings.disabledMechanisms()),
         clock.instant());
   }
 
-  /** Returns the endpoints from which KV cache may be fetched: healthy ones in regions where the request's data may be stored. */
-  private List<EndpointTracker> prefixHolders(
+  /**
+   * Returns the endpoints from which KV cache may be fetched: healthy ones in regions where the
+   * request's data may be stored.
+   */
+  private List<EndpointTracker> prefixSources(
       List<EndpointTracker> endpoints, Set<String> allowedRegions) {
     Instant now = clock.instant();
     return endpoints.stream()
@@ -343,15 +369,15 @@
     return List.copyOf(names);
   }
 
-  private static int ownLimit(Optional<ServiceSpec> spec, int entriesNear) {
+  private static int maxInFlightPerEndpoint(Optional<ServiceSpec> spec, int regionEntryCount) {
     int connections = spec.map(ServiceSpec::maxConnections).orElse(1);
-    return Math.max(2, (int) (connections * CONNECTION_SHARE / entriesNear));
+    return Math.max(2, (int) (connections * CONNECTION_SHARE / regionEntryCount));
   }
 
-  private int coldOwners(Optional<ServiceSpec> spec) {
+  private int coldSenders(Optional<ServiceSpec> spec) {
     double rate = spec.map(ServiceSpec::coldRequestsPerSecond).orElse(0.0);
     double bound = rate * settings.bounds().warmupOvershoot() + settings.bounds().warmupSlack();
-    return Math.max(1, (int) (bound * COLD_SHARE));
+    return Math.max(1, (int) (bound * COLD_RATE_SHARE));
   }
 
   /** Returns the entries of a region. */
@@ -361,7 +387,7 @@
 
   /** Returns the entries of a region to which a request may be relayed. */
   public List<EntryInfo> relayEntriesOf(String region) {
-    return unreachable.prefer(entriesOf(region), clock.instant());
+    return unreachable.preferReachable(entriesOf(region), clock.instant());
   }
 
   /** Returns the entries of other regions to which this one keeps connections open. */
@@ -383,12 +409,16 @@
     regionLoads.recordRelayed(region, request, entriesOf(settings.region()).size());
   }
 
-  /** Records that connecting to an entry of another region failed. After this has happened for all relay partners there, the region is unreachable and no request waits for another connect timeout. */
+  /**
+   * Records that connecting to an entry of another region failed. After this has happened for all
+   * relay partners there, the region is unreachable and no request waits for another connect
+   * timeout.
+   */
   public void entryUnreachable(EntryInfo entry) {
     Instant now = clock.instant();
-    unreachable.failed(entry, now);
+    unreachable.recordFailure(entry, now);
     List<EntryInfo> partners = RelayPartners.of(entriesOf(entry.region()), self.name());
-    if (unreachable.allFailed(partners, now)) {
+    if (unreachable.allUnreachable(partners, now)) {
       regionLoads.recordUnreachable(entry.region(), now);
       LOG.log(
           System.Logger.Level.INFO,
@@ -402,50 +432,57 @@
 
   private void report() {
     Instant now = clock.instant();
-    boolean silent = contacts.allSilentFor(CONTROL_SILENCE, now);
-    if (silent && reachedControl) {
-      reachedControl = false;
+    boolean controlUnresponsive = controlTracker.noReplyWithin(CONTROL_TIMEOUT, now);
+    if (controlUnresponsive && controlReached) {
+      controlReached = false;
       LOG.log(System.Logger.Level.WARNING, "control.lost", "known", controls);
     }
     Set<String> targets = knownControls(now);
-    Set<String> relied = largeFleet && !silent ? contacts.relied(controls, now) : targets;
-    long questionId = lease.ask(clocks());
-    transport.sendAll(relied, entryReport(true, questionId));
-    reports++;
-    if (reports % REPORTS_BETWEEN == 0 || stopping) {
+    Set<String> followed =
+        largeFleet && !controlUnresponsive ? controlTracker.followed(controls, now) : targets;
+    long reportId = lease.startRequest(clocks());
+    transport.sendAll(followed, entryReport(true, reportId));
+    reportCount++;
+    if (reportCount % REPORTS_PER_BROADCAST == 0 || shuttingDown) {
       Set<String> others = new TreeSet<>(targets);
-      others.removeAll(relied);
-      transport.sendAll(others, entryReport(false, questionId));
+      others.removeAll(followed);
+      transport.sendAll(others, entryReport(false, reportId));
     }
-    quarantine.repeat();
-    tellRegions();
+    quarantine.resendUnconfirmed();
+    reportRegionLoad();
   }
 
   /** Returns the known control instances, and also the seed peers while none of them replies. */
   private Set<String> knownControls(Instant now) {
     Set<String> known = new TreeSet<>(controls);
-    if (controls.isEmpty() || contacts.allSilentFor(CONTROL_SILENCE, now)) {
+    if (controls.isEmpty() || controlTracker.noReplyWithin(CONTROL_TIMEOUT, now)) {
       known.addAll(seeds);
     }
     return known;
   }
 
-  /** Returns the control instances of this region, which forward messages to the others; all of them while none of this region is connected to a majority. */
-  private Set<String> nearControls() {
+  /**
+   * Returns the control instances of this region, which forward messages to the others; all of them
+   * while none of this region is connected to a majority.
+   */
+  private Set<String> followedControls() {
     Instant now = clock.instant();
-    return contacts.relied(knownControls(now), now);
+    return controlTracker.followed(knownControls(now), now);
   }
 
   private StateLease.Clocks clocks() {
     return new StateLease.Clocks(clock.instant(), wallClock.instant());
   }
 
-  /** Returns whether callers' API keys may be accepted. An entry that is disconnected from the control instances does not receive key revocations. */
+  /**
+   * Returns whether callers' API keys may be accepted. An entry that is disconnected from the
+   * control instances does not receive key revocations.
+   */
   public boolean canVerifyApiKeys() {
     return settings.bounds().revocationDelay().isEmpty() || lease.isValid(clocks());
   }
 
-  private FleetMessage entryReport(boolean wantsLists, long questionId) {
+  private FleetMessage entryReport(boolean wantsLists, long reportId) {
     return new FleetMessage.EntryReport(
         self,
         ready(),
@@ -454,117 +491,124 @@
         endpoints.digest(),
         entriesDigest(entries),
         quarantine.digest(),
-        questionId);
+        reportId);
   }
 
   private void receive(FleetMessage message) {
     if (message instanceof FleetMessage.ControlPulse pulse) {
-      pulse(pulse);
+      onControlPulse(pulse);
     } else if (message instanceof FleetMessage.RosterUpdate update) {
-      rosterUpdated(update);
+      onRosterUpdate(update);
     } else if (message instanceof FleetMessage.EntryList list) {
-      entriesChanged(list);
+      onEntryList(list);
     } else if (message instanceof FleetMessage.StateOffer offer) {
-      stateOffered(offer);
+      onStateOffer(offer);
     } else if (message instanceof FleetMessage.LoadReport load) {
-      loads.heard(load);
+      loads.onLoadReport(load);
     } else if (message instanceof FleetMessage.PrefixRead read) {
-      prefixes.heard(read);
+      prefixes.onPrefixRead(read);
     } else if (message instanceof FleetMessage.RegionLoad load) {
-      regionHeard(load);
+      onRegionLoad(load);
     } else if (message instanceof FleetMessage.EntryNews news) {
       quotas.applyPeerUsage(news.news().quotaUsage(), clock.instant());
     } else if (message instanceof FleetMessage.NewsDigest digest) {
-      digestHeard(digest);
+      onNewsDigest(digest);
     } else if (message instanceof FleetMessage.SuspicionUpdate update) {
-      quarantine.heard(update);
+      quarantine.onSuspicionUpdate(update);
     } else if (message instanceof FleetMessage.SuspicionAck ack) {
-      quarantine.confirmed(ack);
+      quarantine.onSuspicionAck(ack);
     }
-    reportReady();
+    reportOnceReady();
     if (discoveringEndpoints()) {
-      prefixes.askEndpoints();
+      prefixes.requestListings();
     }
   }
 
-  private void regionHeard(FleetMessage.RegionLoad load) {
+  private void onRegionLoad(FleetMessage.RegionLoad load) {
     Instant now = clock.instant();
     load.services().forEach(s -> regionLoads.update(load.region(), s, now));
   }
 
-  private void digestHeard(FleetMessage.NewsDigest digest) {
-    aggregators.digest(digest.from());
-    digest.news().loads().forEach(loads::heard);
-    digest.news().prefixes().forEach(prefixes::heard);
-    digest.news().regionLoads().forEach(this::regionHeard);
+  private void onNewsDigest(FleetMessage.NewsDigest digest) {
+    aggregatorSelector.onDigest(digest.from());
+    digest.news().loads().forEach(loads::onLoadReport);
+    digest.news().prefixes().forEach(prefixes::onPrefixRead);
+    digest.news().regionLoads().forEach(this::onRegionLoad);
     quotas.applyFleetUsage(digest.news().quotaUsage(), clock.instant());
   }
 
-  /** Returns the channel for updates. In large fleets the entries exchange updates through an aggregator while one is reachable. */
-  private UpdateChannel newsChannel() {
+  /**
+   * Returns the channel for updates. In large fleets the entries exchange updates through an
+   * aggregator while one is reachable.
+   */
+  private UpdateChannel updateChannel() {
     Optional<String> aggregator =
-        largeFleet ? aggregators.current(clock.instant()) : Optional.empty();
-    if (!aggregator.equals(newsThrough)) {
-      newsThrough = aggregator;
+        largeFleet ? aggregatorSelector.select(clock.instant()) : Optional.empty();
+    if (!aggregator.equals(currentAggregator)) {
+      currentAggregator = aggregator;
       LOG.log(
           System.Logger.Level.INFO,
           "news.channel_changed",
           "aggregator",
           aggregator.orElse("none, entries exchange updates directly"));
     }
-    return aggregator.isPresent() ? aggregated : direct;
+    return aggregator.isPresent() ? aggregatedChannel : directChannel;
   }
 
-  /** Returns whether a region has so many entries that direct exchange between them is too expensive. All entries have about the same list of entries and so come to the same result. */
-  private static boolean isLarge(List<EntryInfo> entries) {
-    Map<String, Integer> sizes = new HashMap<>();
-    entries.forEach(e -> sizes.merge(e.region(), 1, Integer::sum));
-    return sizes.values().stream().anyMatch(size -> size > DirectUpdateChannel.MOST_ENTRIES);
+  /**
+   * Returns whether a region has so many entries that direct exchange between them is too
+   * expensive. All entries have about the same list of entries and so come to the same result.
+   */
+  private static boolean hasLargeRegion(List<EntryInfo> entries) {
+    Map<String, Integer> regionSizes = new HashMap<>();
+    entries.forEach(e -> regionSizes.merge(e.region(), 1, Integer::sum));
+    return regionSizes.values().stream()
+        .anyMatch(size -> size > DirectUpdateChannel.MAX_ENTRIES_PER_REGION);
   }
 
-  private void pulse(FleetMessage.ControlPulse pulse) {
+  private void onControlPulse(FleetMessage.ControlPulse pulse) {
     Instant now = clock.instant();
-    aggregators.pulse(pulse.from(), pulse.region(), now);
-    if (!reachedControl) {
-      reachedControl = true;
+    aggregatorSelector.onHeartbeat(pulse.from(), pulse.region(), now);
+    if (!controlReached) {
+      controlReached = true;
       LOG.log(System.Logger.Level.INFO, "control.reached", "control", pulse.from());
     }
-    contacts.pulse(pulse, now);
+    controlTracker.onControlPulse(pulse, now);
     if (pulse.inMajority() || controls.isEmpty()) {
       controls = pulse.controls();
-      contacts.retain(controls);
+      controlTracker.retain(controls);
     }
     if (pulse.inMajority() && pulse.revision() <= routing.revision()) {
-      lease.proved(pulse.reportId());
+      lease.confirm(pulse.reportId());
     }
-    boolean mayAsk = requestedAt.plus(REQUEST_PAUSE).isBefore(now);
-    if (pulse.revision() > routing.revision() && mayAsk) {
-      requestedAt = now;
+    boolean mayRequest = stateRequestedAt.plus(STATE_REQUEST_INTERVAL).isBefore(now);
+    if (pulse.revision() > routing.revision() && mayRequest) {
+      stateRequestedAt = now;
       transport.send(pulse.from(), new FleetMessage.StateRequest(self.peerAddress()));
     }
-    if (pulse.settled() && pulse.inMajority()) {
+    if (pulse.discoveryComplete() && pulse.inMajority()) {
       rosterKnown = true;
     }
     quarantine.compare(pulse);
   }
 
-  private void stateOffered(FleetMessage.StateOffer offer) {
+  private void onStateOffer(FleetMessage.StateOffer offer) {
     if (offer.revision() <= routing.revision()) {
       return;
     }
     try {
-      RoutingView before = routing;
-      boolean sameDocument = offer.version() == before.table().version();
+      RoutingView previous = routing;
+      boolean sameDocument = offer.version() == previous.table().version();
       routing =
           new RoutingView(
               offer.revision(),
               sameDocument || offer.version() == 0
-                  ? before.table()
+                  ? previous.table()
                   : parser.parse(offer.document()),
               offer.evacuatedDomains());
-      requestedAt = Instant.EPOCH;
+      stateRequestedAt = Instant.EPOCH;
       quotas.configure(routing.table().organisations(), clock.instant());
-      returned(before.evacuatedDomains());
+      markReadmittedEndpointsCold(previous.evacuatedDomains());
       LOG.log(
           System.Logger.Level.INFO,
           "routing.in_force",
@@ -579,13 +623,16 @@
     }
   }
 
-  /** Marks the endpoints of failure domains that are no longer evacuated as cold, since they may have become cold during the evacuation. */
-  private void returned(Set<String> evacuatedBefore) {
-    Set<String> back = new HashSet<>(evacuatedBefore);
-    back.removeAll(routing.evacuatedDomains());
+  /**
+   * Marks the endpoints of failure domains that are no longer evacuated as cold, since they may
+   * have become cold during the evacuation.
+   */
+  private void markReadmittedEndpointsCold(Set<String> previouslyEvacuated) {
+    Set<String> noLongerEvacuated = new HashSet<>(previouslyEvacuated);
+    noLongerEvacuated.removeAll(routing.evacuatedDomains());
     Instant now = clock.instant();
     for (EndpointTracker tracker : endpoints.trackers()) {
-      if (back.contains(tracker.record().failureDomain())) {
+      if (noLongerEvacuated.contains(tracker.record().failureDomain())) {
         Duration warmup =
             routing
                 .table()
@@ -593,22 +640,22 @@
                 .map(ServiceSpec::warmup)
                 .orElse(Duration.ZERO);
         if (!warmup.isZero()) {
-          tracker.extendColdUntil(now.plus(warmup).plus(RETURN_SLACK));
+          tracker.extendColdUntil(now.plus(warmup).plus(EVACUATION_END_MARGIN));
         }
       }
     }
   }
 
-  private void rosterUpdated(FleetMessage.RosterUpdate update) {
+  private void onRosterUpdate(FleetMessage.RosterUpdate update) {
     endpoints.update(update, clock.instant());
     rosterKnown |= update.complete();
   }
 
-  private void entriesChanged(FleetMessage.EntryList list) {
+  private void onEntryList(FleetMessage.EntryList list) {
     if (entriesDigest(list.entries()) != entriesDigest(entries)) {
       entries = List.copyOf(list.entries());
       regionEntryNames = regionEntryNames(self, entries);
-      largeFleet = isLarge(entries);
+      largeFleet = hasLargeRegion(entries);
       LOG.log(
           System.Logger.Level.INFO,
           "entries.changed",
@@ -616,25 +663,28 @@
           entries.stream().map(EntryInfo::name).toList(),
           "from",
           list.from());
-      tellRegions();
+      reportRegionLoad();
     }
   }
 
-  /** Reports immediately when this entry has become ready, so that callers are directed to it again. */
-  private void reportReady() {
-    if (!toldReady && ready()) {
-      toldReady = true;
+  /**
+   * Reports immediately when this entry has become ready, so that callers are directed to it again.
+   */
+  private void reportOnceReady() {
+    if (!readyReported && ready()) {
+      readyReported = true;
       report();
     }
   }
 
   /** Records that a request was sent to an endpoint of this region. */
   public void requestSent(EndpointTracker tracker, long uncachedTokens) {
-    loads.begun(tracker, uncachedTokens);
+    loads.requestSent(tracker, uncachedTokens);
   }
 
   /**
-   * Records the rate limit that a response advertises for its endpoint; a change is reported to the other entries of the region immediately.
+   * Records the rate limit that a response advertises for its endpoint; a change is reported to the
+   * other entries of the region immediately.
    *
    * @param perSecond requests per second, empty if the response advertises no limit
    * @param sentAt when the request was sent
@@ -643,22 +693,26 @@
   public void rateLimitAdvertised(
       EndpointTracker tracker, OptionalDouble perSecond, Instant sentAt, int status) {
     if (tracker.rateLimit().updateFromResponse(perSecond, sentAt, clock.instant())) {
-      RosterLog.rateLimitChanged(tracker.record().id(), perSecond, status);
-      loads.rateStated(tracker);
+      RosterLog.logRateLimitChange(tracker.record().id(), perSecond, status);
+      loads.reportRateLimit(tracker);
     }
   }
 
-  /** Records that an endpoint announces in a response that it is draining, which may arrive before the update from the control instances. */
+  /**
+   * Records that an endpoint announces in a response that it is draining, which may arrive before
+   * the update from the control instances.
+   */
   public void drainAdvertised(EndpointTracker tracker) {
     if (tracker.conditions().markDraining()) {
-      RosterLog.changed(tracker.record().withState(EndpointState.DRAINING), "endpoint response");
+      RosterLog.logStateChange(
+          tracker.record().withState(EndpointState.DRAINING), "endpoint response");
     }
   }
 
   /** Records an endpoint's request to receive nothing from this entry for some time. */
   public void pauseRequested(EndpointTracker tracker, Duration pause) {
     Instant now = clock.instant();
-    boolean inPause = !tracker.conditions().remainingPause(now).isZero();
+    boolean alreadyPaused = !tracker.conditions().remainingPause(now).isZero();
     tracker.conditions().pause(pause, now);
     LOG.log(
         System.Logger.Level.INFO,
@@ -668,17 +722,20 @@
         "millis",
         pause.toMillis(),
         "inPause",
-        inPause);
+        alreadyPaused);
   }
 
-  /** Records that an endpoint has prefilled a prompt, and reports the shared prefix to the other entries. */
+  /**
+   * Records that an endpoint has prefilled a prompt, and reports the shared prefix to the other
+   * entries.
+   */
   public void prefixRead(EndpointTracker tracker, PlacementRequest request) {
-    prefixes.read(tracker, request);
+    prefixes.prefixRead(tracker, request);
   }
 
-  private void tellRegions() {
+  private void reportRegionLoad() {
     if (ready()) {
-      loads.tellRegions(regionEntryNames, routing.evacuatedDomains());
+      loads.reportRegionLoad(regionEntryNames, routing.evacuatedDomains());
     }
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetBounds.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetBounds.java
@@ -13,7 +13,9 @@
  * @param extraSendWindow the time window in which they are counted
  * @param warmupOvershoot tolerated factor on a cold endpoint's rate
  * @param warmupSlack requests per second tolerated in addition
- * @param revocationDelay time after which a revoked key is accepted nowhere, not even by entries that are disconnected from the control instances; empty if such entries may continue to accept keys
+ * @param revocationDelay time after which a revoked key is accepted nowhere, not even by entries
+ *     that are disconnected from the control instances; empty if such entries may continue to
+ *     accept keys
  */
 public record FleetBounds(
     Duration shutdownGrace,
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetTransport.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetTransport.java
@@ -12,12 +12,15 @@
 import org.lacewingcroft.peer.PeerTraffic;
 import org.lacewingcroft.peer.PeerTransport;
 
-/** The peer transport as used by the instances of a fleet; message handlers run on the given context. */
+/**
+ * The peer transport as used by the instances of a fleet; message handlers run on the given
+ * context.
+ */
 final class FleetTransport implements AutoCloseable {
   private static final System.Logger LOG = System.getLogger(FleetTransport.class.getName());
 
   /** Interval at which the traffic totals are logged. */
-  private static final long ACCOUNT_MILLIS = 15_000;
+  private static final long TRAFFIC_LOG_INTERVAL_MILLIS = 15_000;
 
   private static final long NANOS_PER_MICRO = 1_000;
 
@@ -33,11 +36,11 @@
 
   Future<Integer> listen(
       Consumer<FleetMessage> onFleet, BiConsumer<String, ConsensusMessage> onConsensus) {
-    context.owner().setPeriodic(ACCOUNT_MILLIS, id -> logTraffic());
+    context.owner().setPeriodic(TRAFFIC_LOG_INTERVAL_MILLIS, id -> logTraffic());
     return transport.listen(
         settings.ip(),
         settings.peerPort(),
-        (stamp, message) -> {
+        (timestamp, message) -> {
           if (message instanceof PeerMessage.Consensus consensus) {
             onConsensus.accept(consensus.from(), consensus.message());
           } else if (message instanceof PeerMessage.Fleet fleet) {
@@ -47,9 +50,9 @@
   }
 
   private void handle(PeerMessage.Fleet fleet, Consumer<FleetMessage> onFleet) {
-    long begunNanos = System.nanoTime();
+    long startNanos = System.nanoTime();
     onFleet.accept(fleet.message());
-    transport.traffic().handled(fleet, System.nanoTime() - begunNanos);
+    transport.traffic().handled(fleet, System.nanoTime() - startNanos);
   }
 
   /** Returns the traffic and processing time by message kind. */
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LoadExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LoadExchange.java
@@ -19,16 +19,25 @@
 import org.lacewingcroft.placement.EndpointTracker;
 
 /**
- * Exchanges load reports with other entries. The entries of a region report their load at each endpoint to each other, so that none fills an endpoint that another is already filling; two of them report the expected waits to the other regions. Quota usage is sent along.
+ * Exchanges load reports with other entries. The entries of a region report their load at each
+ * endpoint to each other, so that none fills an endpoint that another is already filling; two of
+ * them report the expected waits to the other regions. Quota usage is sent along.
  *
  * <p>Confined to the event loop thread.
  */
 final class LoadExchange {
-  /** Number of tokens from which a prompt is reported immediately: its prefill takes about half the interval between two reports. */
+  /**
+   * Number of tokens from which a prompt is reported immediately: its prefill takes about half the
+   * interval between two reports.
+   */
   private static final long LONG_PROMPT_TOKENS = 5_000;
 
-  /** Number of entries, the first by name, that report to the other regions. With only one, its loss would leave the region without reports until the list of entries drops it, which is longer than its last report is used. */
-  private static final int REGION_SPEAKERS = 2;
+  /**
+   * Number of entries, the first by name, that report to the other regions. With only one, its loss
+   * would leave the region without reports until the list of entries drops it, which is longer than
+   * its last report is used.
+   */
+  private static final int REGION_REPORTERS = 2;
 
   private final Vertx vertx;
   private final FleetSettings settings;
@@ -40,9 +49,9 @@
   private final FleetQuotas quotas;
 
   /** The endpoints at which each other entry has reported load. */
-  private final Map<String, Set<String>> namedBy = new HashMap<>();
+  private final Map<String, Set<String>> reportedEndpoints = new HashMap<>();
 
-  private boolean toldWork;
+  private boolean loadReported;
 
   LoadExchange(
       Vertx vertx,
@@ -69,25 +78,25 @@
   }
 
   private void report() {
-    vertx.setTimer(channel.get().pauseMillis(), id -> report());
+    vertx.setTimer(channel.get().reportIntervalMillis(), id -> report());
     Instant now = clock.instant();
-    List<FleetMessage.EndpointLoad> work =
+    List<FleetMessage.EndpointLoad> loads =
         trackers.get().stream()
             .filter(t -> t.inFlight() > 0 || t.rateLimit().report(now).isPresent())
-            .map(t -> workAt(t, now))
+            .map(t -> loadAt(t, now))
             .toList();
-    Map<String, Long> uses = quotas.drainUnreportedUsage();
-    if (!uses.isEmpty()) {
-      channel.get().quotaUses(uses);
+    Map<String, Long> usage = quotas.drainUnreportedUsage();
+    if (!usage.isEmpty()) {
+      channel.get().sendQuotaUsage(usage);
     }
-    boolean news = !work.isEmpty() || toldWork || !uses.isEmpty();
-    toldWork = !work.isEmpty();
-    if (news) {
-      channel.get().work(new FleetMessage.LoadReport(self.name(), true, work), false);
+    boolean hasUpdates = !loads.isEmpty() || loadReported || !usage.isEmpty();
+    loadReported = !loads.isEmpty();
+    if (hasUpdates) {
+      channel.get().sendLoad(new FleetMessage.LoadReport(self.name(), true, loads), false);
     }
   }
 
-  private static FleetMessage.EndpointLoad workAt(EndpointTracker tracker, Instant now) {
+  private static FleetMessage.EndpointLoad loadAt(EndpointTracker tracker, Instant now) {
     return new FleetMessage.EndpointLoad(
         tracker.record().id(),
         tracker.inFlight(),
@@ -96,38 +105,42 @@
   }
 
   /** Reports immediately that an endpoint advertises a different rate limit than before. */
-  void rateStated(EndpointTracker tracker) {
-    tellWork(tracker);
+  void reportRateLimit(EndpointTracker tracker) {
+    reportLoadImmediately(tracker);
   }
 
-  private void tellWork(EndpointTracker tracker) {
-    FleetMessage.EndpointLoad work = workAt(tracker, clock.instant());
-    channel.get().work(new FleetMessage.LoadReport(self.name(), false, List.of(work)), true);
+  private void reportLoadImmediately(EndpointTracker tracker) {
+    FleetMessage.EndpointLoad load = loadAt(tracker, clock.instant());
+    channel.get().sendLoad(new FleetMessage.LoadReport(self.name(), false, List.of(load)), true);
   }
 
-  /** Records that a request was sent to an endpoint. A prompt whose prefill keeps the endpoint busy for longer than the report interval would hide is reported immediately. */
-  void begun(EndpointTracker tracker, long uncachedTokens) {
+  /**
+   * Records that a request was sent to an endpoint. A prompt whose prefill keeps the endpoint busy
+   * for longer than the report interval would hide is reported immediately.
+   */
+  void requestSent(EndpointTracker tracker, long uncachedTokens) {
     if (uncachedTokens >= LONG_PROMPT_TOKENS) {
-      tellWork(tracker);
+      reportLoadImmediately(tracker);
     }
   }
 
   /** Applies another entry's load report. */
-  void heard(FleetMessage.LoadReport report) {
+  void onLoadReport(FleetMessage.LoadReport report) {
     if (report.from().equals(self.name())) {
       return;
     }
     Instant now = clock.instant();
-    Set<String> named = namedBy.computeIfAbsent(report.from(), from -> new HashSet<>());
-    Set<String> notNamedAgain = report.complete() ? Set.copyOf(named) : Set.of();
+    Set<String> reported =
+        reportedEndpoints.computeIfAbsent(report.from(), from -> new HashSet<>());
+    Set<String> noLongerReported = report.complete() ? Set.copyOf(reported) : Set.of();
     for (FleetMessage.EndpointLoad load : report.loads()) {
-      named.add(load.endpoint());
-      peerWork(report.from(), load, now);
+      reported.add(load.endpoint());
+      applyPeerLoad(report.from(), load, now);
     }
-    for (String endpoint : notNamedAgain) {
+    for (String endpoint : noLongerReported) {
       if (report.loads().stream().noneMatch(l -> l.endpoint().equals(endpoint))) {
-        named.remove(endpoint);
-        peerWork(
+        reported.remove(endpoint);
+        applyPeerLoad(
             report.from(),
             new FleetMessage.EndpointLoad(endpoint, 0, List.of(), Optional.empty()),
             now);
@@ -135,70 +148,76 @@
     }
   }
 
-  private void peerWork(String from, FleetMessage.EndpointLoad load, Instant now) {
+  private void applyPeerLoad(String from, FleetMessage.EndpointLoad load, Instant now) {
     trackerOf
         .apply(load.endpoint())
         .ifPresent(
             t -> {
               t.updatePeerLoad(from, load.running(), load.pendingPrompts(), now);
-              load.rate().ifPresent(rate -> rateHeard(t, rate, from, now));
+              load.rateLimit().ifPresent(rateLimit -> applyPeerRateLimit(t, rateLimit, from, now));
             });
   }
 
-  private static void rateHeard(
-      EndpointTracker tracker, EndpointRateLimit.Report rate, String from, Instant now) {
-    if (tracker.rateLimit().updateFromPeer(rate, now)) {
-      RosterLog.rateLimitChanged(tracker.record().id(), rate.perSecond(), from);
+  private static void applyPeerRateLimit(
+      EndpointTracker tracker, EndpointRateLimit.Report rateLimit, String from, Instant now) {
+    if (tracker.rateLimit().updateFromPeer(rateLimit, now)) {
+      RosterLog.logRateLimitChange(tracker.record().id(), rateLimit.perSecond(), from);
     }
   }
 
   /**
-   * Reports this region's load to the other regions, if this entry is one of the region's reporters.
+   * Reports this region's load to the other regions, if this entry is one of the region's
+   * reporters.
    *
    * @param regionEntries the names of the region's entries in order, including this one
    * @param evacuatedDomains failure domains whose endpoints receive no requests
    */
-  void tellRegions(List<String> regionEntries, Set<String> evacuatedDomains) {
-    if (regionEntries.indexOf(self.name()) >= REGION_SPEAKERS) {
+  void reportRegionLoad(List<String> regionEntries, Set<String> evacuatedDomains) {
+    if (regionEntries.indexOf(self.name()) >= REGION_REPORTERS) {
       return;
     }
     Instant now = clock.instant();
     Map<String, List<EndpointTracker>> byService = new TreeMap<>();
     for (EndpointTracker tracker : trackers.get()) {
-      boolean open =
+      boolean available =
           settings.inOwnRegion(tracker.record().failureDomain())
               && tracker.acceptsRequests(now)
               && !tracker.isCold(now)
               && !tracker.isSuspect(now)
               && tracker.withinRate(self.name(), regionEntries, now)
               && !evacuatedDomains.contains(tracker.record().failureDomain());
-      if (open) {
+      if (available) {
         byService.computeIfAbsent(tracker.record().service(), s -> new ArrayList<>()).add(tracker);
       }
     }
     List<FleetMessage.ServiceLoad> services = new ArrayList<>();
     byService.forEach(
-        (service, open) -> services.add(serviceLoad(service, withoutLimitIfAny(open), now)));
-    channel.get().regionLoad(new FleetMessage.RegionLoad(settings.region(), services));
+        (service, available) ->
+            services.add(serviceLoad(service, preferUnlimited(available), now)));
+    channel.get().sendRegionLoad(new FleetMessage.RegionLoad(settings.region(), services));
   }
 
-  /** Returns the endpoints without a rate limit, or all of them if each has one. An endpoint with a rate limit has at most room for callers of its own region. */
-  private static List<EndpointTracker> withoutLimitIfAny(List<EndpointTracker> open) {
+  /**
+   * Returns the endpoints without a rate limit, or all of them if each has one. An endpoint with a
+   * rate limit has at most room for callers of its own region.
+   */
+  private static List<EndpointTracker> preferUnlimited(List<EndpointTracker> available) {
     List<EndpointTracker> unlimited =
-        open.stream().filter(t -> t.rateLimit().perSecond().isEmpty()).toList();
-    return unlimited.isEmpty() ? open : unlimited;
+        available.stream().filter(t -> t.rateLimit().perSecond().isEmpty()).toList();
+    return unlimited.isEmpty() ? available : unlimited;
   }
 
   private static FleetMessage.ServiceLoad serviceLoad(
-      String service, List<EndpointTracker> open, Instant now) {
+      String service, List<EndpointTracker> available, Instant now) {
     long[] waits = new long[EndpointTracker.PRIORITIES];
     for (int p = 0; p < waits.length; p++) {
       int priority = p;
       waits[p] =
           Math.round(
-              open.stream().mapToDouble(t -> t.waitMillis(priority, now)).average().orElse(0));
+              available.stream().mapToDouble(t -> t.waitMillis(priority, now)).average().orElse(0));
     }
-    double tokenMillis = open.stream().mapToDouble(t -> t.tokenMillis(now)).average().orElse(0);
-    return new FleetMessage.ServiceLoad(service, open.size(), waits, tokenMillis);
+    double tokenMillis =
+        available.stream().mapToDouble(t -> t.tokenMillis(now)).average().orElse(0);
+    return new FleetMessage.ServiceLoad(service, available.size(), waits, tokenMillis);
   }
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/OrderRelay.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/OrderRelay.java
@@ -17,18 +17,22 @@
 import org.lacewingcroft.fleet.FleetMessage.ControlOrder;
 import org.lacewingcroft.metrics.GatewayMetrics;
 
-/** Forwards operator orders and reads from the instance that received them to the leader of the control group. Orders are idempotent, so an order is sent again while its outcome is unknown. A read is answered only by a leader that has just confirmed its leadership. */
+/**
+ * Forwards operator orders and reads from the instance that received them to the leader of the
+ * control group. Orders are idempotent, so an order is sent again while its outcome is unknown. A
+ * read is answered only by a leader that has just confirmed its leadership.
+ */
 public final class OrderRelay {
   private static final System.Logger LOG = System.getLogger(OrderRelay.class.getName());
 
   /** Maximum time for an order at this instance; operators try another instance after a second. */
-  private static final Duration PATIENCE = Duration.ofMillis(930);
+  private static final Duration ORDER_TIMEOUT = Duration.ofMillis(930);
 
   /** Timeout of one attempt with one leader: some round trips and slow disk syncs. */
-  private static final Duration TRY_PATIENCE = Duration.ofMillis(600);
+  private static final Duration ATTEMPT_TIMEOUT = Duration.ofMillis(600);
 
   /** Delay before the next attempt if no leader is known or the leader did not reply. */
-  private static final long RETRY_MILLIS = 60;
+  private static final long RETRY_DELAY_MILLIS = 60;
 
   private final Context context;
   private final Vertx vertx;
@@ -36,7 +40,7 @@
   private final Supplier<RoutingControl> control;
   private final FleetTransport transport;
   private final GatewayMetrics metrics;
-  private final Map<Long, Promise<Outcome>> calls = new HashMap<>();
+  private final Map<Long, Promise<Outcome>> pendingCalls = new HashMap<>();
   private long nextCallId = 1;
 
   /**
@@ -51,27 +55,30 @@
   }
 
   private record Order(
-      ControlOrder kind, long version, String text, long basisRevision, long deadlineNanos) {
+      ControlOrder kind, long version, String argument, long baseRevision, long deadlineNanos) {
     Command command() {
       return switch (kind) {
-        case ROUTE -> new Command.RoutingChange(version, text);
-        case EVACUATE -> new Command.EvacuationChange(text, true, basisRevision);
-        case RETURN -> new Command.EvacuationChange(text, false, basisRevision);
+        case ROUTE -> new Command.RoutingChange(version, argument);
+        case EVACUATE -> new Command.EvacuationChange(argument, true, baseRevision);
+        case RETURN -> new Command.EvacuationChange(argument, false, baseRevision);
         case READ -> new Command.Noop();
       };
     }
 
-    /** Returns whether the order is in effect in a routing state; a committed evacuation may have been superseded. */
-    boolean inForce(RoutingState state) {
+    /**
+     * Returns whether the order is in effect in a routing state; a committed evacuation may have
+     * been superseded.
+     */
+    boolean isInEffect(RoutingState state) {
       return switch (kind) {
         case ROUTE -> state.version() >= version;
-        case EVACUATE -> state.evacuatedDomains().contains(text);
-        case RETURN -> !state.evacuatedDomains().contains(text);
+        case EVACUATE -> state.evacuatedDomains().contains(argument);
+        case RETURN -> !state.evacuatedDomains().contains(argument);
         case READ -> true;
       };
     }
 
-    long leftMillis() {
+    long remainingMillis() {
       return TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
     }
   }
@@ -92,36 +99,36 @@
 
   /** Activates a validated routing document. */
   public Future<Outcome> route(long version, String document) {
-    return order(ControlOrder.ROUTE, version, document);
+    return submit(ControlOrder.ROUTE, version, document);
   }
 
   /** Begins or ends the evacuation of a failure domain. */
   public Future<Outcome> evacuate(String failureDomain, boolean active) {
-    return order(active ? ControlOrder.EVACUATE : ControlOrder.RETURN, 0, failureDomain);
+    return submit(active ? ControlOrder.EVACUATE : ControlOrder.RETURN, 0, failureDomain);
   }
 
   /** Reads the newest routing document. */
   public Future<Outcome> read() {
-    return order(ControlOrder.READ, 0, "");
+    return submit(ControlOrder.READ, 0, "");
   }
 
-  private Future<Outcome> order(ControlOrder kind, long version, String text) {
+  private Future<Outcome> submit(ControlOrder kind, long version, String argument) {
     Promise<Outcome> result = Promise.promise();
-    long beganNanos = System.nanoTime();
-    long deadline = beganNanos + PATIENCE.toNanos();
-    long basis = control.get().view().routing().revision();
-    attempt(new Order(kind, version, text, basis, deadline), result);
+    long startNanos = System.nanoTime();
+    long deadlineNanos = startNanos + ORDER_TIMEOUT.toNanos();
+    long baseRevision = control.get().view().routing().revision();
+    attempt(new Order(kind, version, argument, baseRevision, deadlineNanos), result);
     return result
         .future()
         .onSuccess(
-            o -> {
-              metrics.orders.labelValues(kind.name(), Boolean.toString(o.committed())).inc();
-              metrics.orderSeconds.observe((System.nanoTime() - beganNanos) / 1e9);
-              log(kind, version, text, o);
+            outcome -> {
+              metrics.orders.labelValues(kind.name(), Boolean.toString(outcome.committed())).inc();
+              metrics.orderSeconds.observe((System.nanoTime() - startNanos) / 1e9);
+              log(kind, version, argument, outcome);
             });
   }
 
-  private void log(ControlOrder kind, long version, String text, Outcome outcome) {
+  private void log(ControlOrder kind, long version, String argument, Outcome outcome) {
     LOG.log(
         System.Logger.Level.INFO,
         "order.answered",
@@ -130,7 +137,7 @@
         "version",
         kind == ControlOrder.READ ? outcome.version() : version,
         "domain",
-        kind == ControlOrder.ROUTE ? "" : text,
+        kind == ControlOrder.ROUTE ? "" : argument,
         "done",
         outcome.committed(),
         "leader",
@@ -141,58 +148,58 @@
 
   private void attempt(Order order, Promise<Outcome> result) {
     Optional<String> leader = control.get().view().leader();
-    if (order.leftMillis() <= 0) {
+    if (order.remainingMillis() <= 0) {
       result.tryComplete(Outcome.UNKNOWN);
       return;
     }
-    Future<Outcome> tried;
+    Future<Outcome> outcome;
     if (leader.isEmpty()) {
-      tried = Future.succeededFuture(Outcome.UNKNOWN);
+      outcome = Future.succeededFuture(Outcome.UNKNOWN);
     } else if (leader.get().equals(self)) {
-      tried = submitHere(order, order.leftMillis());
+      outcome = submitLocally(order, order.remainingMillis());
     } else {
-      tried = callLeader(leader.get(), order);
+      outcome = callLeader(leader.get(), order);
     }
-    tried.onComplete(
-        done -> {
-          if (done.succeeded() && done.result().committed()) {
-            result.tryComplete(done.result());
+    outcome.onComplete(
+        completed -> {
+          if (completed.succeeded() && completed.result().committed()) {
+            result.tryComplete(completed.result());
           } else {
-            vertx.setTimer(RETRY_MILLIS, id -> attempt(order, result));
+            vertx.setTimer(RETRY_DELAY_MILLIS, id -> attempt(order, result));
           }
         });
   }
 
-  private Future<Outcome> submitHere(Order order, long patienceMillis) {
+  private Future<Outcome> submitLocally(Order order, long timeoutMillis) {
     Promise<Outcome> promise = Promise.promise();
     control
         .get()
-        .submit(order.command(), Duration.ofMillis(Math.max(1, patienceMillis)))
+        .submit(order.command(), Duration.ofMillis(Math.max(1, timeoutMillis)))
         .onSuccess(result -> context.runOnContext(v -> promise.complete(outcome(order, result))));
     return promise.future();
   }
 
   private Outcome outcome(Order order, ChangeResult result) {
     RoutingState state = control.get().view().routing();
-    if (!(result instanceof ChangeResult.Accepted) || !order.inForce(state)) {
+    if (!(result instanceof ChangeResult.Accepted) || !order.isInEffect(state)) {
       return Outcome.UNKNOWN;
     }
-    boolean read = order.kind() == ControlOrder.READ;
-    return new Outcome(true, state.version(), read ? state.document() : "");
+    boolean isRead = order.kind() == ControlOrder.READ;
+    return new Outcome(true, state.version(), isRead ? state.document() : "");
   }
 
   private Future<Outcome> callLeader(String leader, Order order) {
     Promise<Outcome> promise = Promise.promise();
     long callId = nextCallId++;
-    calls.put(callId, promise);
+    pendingCalls.put(callId, promise);
     transport.send(
         leader,
         new FleetMessage.ControlCall(
-            self, callId, order.kind(), order.version(), order.text(), order.basisRevision()));
+            self, callId, order.kind(), order.version(), order.argument(), order.baseRevision()));
     vertx.setTimer(
-        Math.max(1, Math.min(order.leftMillis(), TRY_PATIENCE.toMillis())),
+        Math.max(1, Math.min(order.remainingMillis(), ATTEMPT_TIMEOUT.toMillis())),
         id -> {
-          if (calls.remove(callId) != null) {
+          if (pendingCalls.remove(callId) != null) {
             promise.tryComplete(Outcome.UNKNOWN);
           }
         });
@@ -200,20 +207,23 @@
   }
 
   /** Executes an order that another instance forwarded, and replies to that instance. */
-  void called(FleetMessage.ControlCall call) {
-    Order order = new Order(call.order(), call.version(), call.text(), call.baseRevision(), 0);
-    submitHere(order, TRY_PATIENCE.toMillis())
+  void onControlCall(FleetMessage.ControlCall call) {
+    Order order = new Order(call.order(), call.version(), call.argument(), call.baseRevision(), 0);
+    submitLocally(order, ATTEMPT_TIMEOUT.toMillis())
         .onSuccess(
-            o ->
+            outcome ->
                 transport.send(
                     call.from(),
                     new FleetMessage.ControlReply(
-                        call.callId(), o.committed(), o.version(), o.document())));
+                        call.callId(),
+                        outcome.committed(),
+                        outcome.version(),
+                        outcome.document())));
   }
 
   /** Completes the order that a leader's reply belongs to. */
-  void replied(FleetMessage.ControlReply reply) {
-    Promise<Outcome> promise = calls.remove(reply.callId());
+  void onControlReply(FleetMessage.ControlReply reply) {
+    Promise<Outcome> promise = pendingCalls.remove(reply.callId());
     if (promise != null) {
       promise.tryComplete(new Outcome(reply.committed(), reply.version(), reply.document()));
     }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PendingCrashProbes.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PendingCrashProbes.java
@@ -7,7 +7,10 @@
 import org.lacewingcroft.request.RequestFingerprint;
 
 /**
- * Request contents whose connection to an endpoint was lost recently, while the crash probe of the endpoint is in progress. Requests with the same content wait for the result: if callers retried immediately, the content could crash one endpoint after the other before the first crash is confirmed.
+ * Request contents whose connection to an endpoint was lost recently, while the crash probe of the
+ * endpoint is in progress. Requests with the same content wait for the result: if callers retried
+ * immediately, the content could crash one endpoint after the other before the first crash is
+ * confirmed.
  *
  * <p>Thread-safe.
  */
@@ -15,13 +18,13 @@
   private final Map<RequestFingerprint, Future<Boolean>> byContent = new ConcurrentHashMap<>();
 
   /** Adds a content that waits for the result of a crash probe. */
-  public void add(RequestFingerprint content, Future<Boolean> verdict) {
-    byContent.put(content, verdict);
-    verdict.onComplete(known -> byContent.remove(content, verdict));
+  public void add(RequestFingerprint content, Future<Boolean> result) {
+    byContent.put(content, result);
+    result.onComplete(completed -> byContent.remove(content, result));
   }
 
   /** Returns the probe result that a content waits for, if any. */
   public Optional<Future<Boolean>> get(RequestFingerprint content) {
-    return Optional.ofNullable(byContent.get(content)).filter(verdict -> !verdict.isComplete());
+    return Optional.ofNullable(byContent.get(content)).filter(result -> !result.isComplete());
   }
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixExchange.java
@@ -21,18 +21,27 @@
 import org.lacewingcroft.route.ServiceSpec;
 
 /**
- * Tracks which prompt prefixes the endpoints cache: entries of all regions report prefilled prefixes to each other, and an entry that has just started requests the list from the endpoints themselves. Placement uses it to select an endpoint for a prompt and the endpoint from which to fetch its prefix.
+ * Tracks which prompt prefixes the endpoints cache: entries of all regions report prefilled
+ * prefixes to each other, and an entry that has just started requests the list from the endpoints
+ * themselves. Placement uses it to select an endpoint for a prompt and the endpoint from which to
+ * fetch its prefix.
  *
  * <p>Confined to the event loop thread.
  */
 final class PrefixExchange {
   private static final System.Logger LOG = System.getLogger(PrefixExchange.class.getName());
 
-  /** Minimum length of a shared prefix that entries report to each other; a shorter one is prefilled as fast as it is reported. */
-  private static final long TOLD_PREFIX_TOKENS = 400;
+  /**
+   * Minimum length of a shared prefix that entries report to each other; a shorter one is prefilled
+   * as fast as it is reported.
+   */
+  private static final long MIN_REPORTED_PREFIX_TOKENS = 400;
 
-  /** Interval in which a prefix at one endpoint is reported at most once; the repeated report shows that it is still in use. */
-  private static final Duration PREFIX_PAUSE = Duration.ofSeconds(3);
+  /**
+   * Interval in which a prefix at one endpoint is reported at most once; the repeated report shows
+   * that it is still in use.
+   */
+  private static final Duration PREFIX_REPORT_INTERVAL = Duration.ofSeconds(3);
 
   private final FleetSettings settings;
   private final PrefixListing listing;
@@ -41,8 +50,8 @@
   private final Function<String, Optional<EndpointTracker>> trackerOf;
   private final Supplier<UpdateChannel> channel;
   private final Function<String, Optional<ServiceSpec.Engine>> engineOfService;
-  private final Map<String, Instant> toldAt = new LinkedHashMap<>();
-  private final Set<String> asked = new HashSet<>();
+  private final Map<String, Instant> reportedAt = new LinkedHashMap<>();
+  private final Set<String> listingRequested = new HashSet<>();
 
   PrefixExchange(
       FleetSettings settings,
@@ -61,63 +70,74 @@
     this.engineOfService = engineOfService;
   }
 
-  /** Records that an endpoint has prefilled a prompt. A long shared prefix is reported to all entries unless one of them has reported it recently. */
-  void read(EndpointTracker tracker, PlacementRequest request) {
-    if (request.sharedTokens() < TOLD_PREFIX_TOKENS) {
+  /**
+   * Records that an endpoint has prefilled a prompt. A long shared prefix is reported to all
+   * entries unless one of them has reported it recently.
+   */
+  void prefixRead(EndpointTracker tracker, PlacementRequest request) {
+    if (request.sharedTokens() < MIN_REPORTED_PREFIX_TOKENS) {
       return;
     }
     tracker.recordPrefix(request.sharedParts(), kvCapacityOf(tracker));
-    if (due(tracker.record().id(), request.sharedKey())) {
+    if (recordIfDue(tracker.record().id(), request.sharedKey())) {
       List<FleetMessage.ReadPart> parts =
           request.sharedParts().stream()
               .map(p -> new FleetMessage.ReadPart(p.id(), p.tokens()))
               .toList();
-      channel.get().prefixRead(new FleetMessage.PrefixRead(tracker.record().id(), parts));
+      channel.get().sendPrefixRead(new FleetMessage.PrefixRead(tracker.record().id(), parts));
     }
   }
 
   /** Applies another entry's report of a prefilled prefix. */
-  void heard(FleetMessage.PrefixRead read) {
+  void onPrefixRead(FleetMessage.PrefixRead read) {
     List<PromptPart> parts =
         read.parts().stream().map(p -> new PromptPart(p.id(), p.tokens())).toList();
     trackerOf.apply(read.endpoint()).ifPresent(t -> t.recordPrefix(parts, kvCapacityOf(t)));
-    due(read.endpoint(), PlacementRequest.keyOf(parts));
+    recordIfDue(read.endpoint(), PlacementRequest.keyOf(parts));
   }
 
-  private boolean due(String endpoint, String prefix) {
+  private boolean recordIfDue(String endpoint, String prefix) {
     Instant now = clock.instant();
-    forgetOld(now);
-    return toldAt.putIfAbsent(endpoint + '|' + prefix, now) == null;
+    evictExpired(now);
+    return reportedAt.putIfAbsent(endpoint + '|' + prefix, now) == null;
   }
 
-  /** Evicts reports older than the interval. The map is in insertion order and no key is inserted again before it is evicted, so the oldest come first. */
-  private void forgetOld(Instant now) {
-    Iterator<Instant> oldest = toldAt.values().iterator();
-    while (oldest.hasNext() && !oldest.next().plus(PREFIX_PAUSE).isAfter(now)) {
+  /**
+   * Evicts reports older than the interval. The map is in insertion order and no key is inserted
+   * again before it is evicted, so the oldest come first.
+   */
+  private void evictExpired(Instant now) {
+    Iterator<Instant> oldest = reportedAt.values().iterator();
+    while (oldest.hasNext() && !oldest.next().plus(PREFIX_REPORT_INTERVAL).isAfter(now)) {
       oldest.remove();
     }
   }
 
-  /** Requests the list of cached prefixes from each endpoint of the region, once per endpoint. After all entries crash at the same time, the endpoints still cache every prefix, and an entry that does not know them assumes a long prefill for each request: of 35 long prompts in the first two seconds, 30 were placed on that assumption, and 41 requests were rejected. */
-  void askEndpoints() {
+  /**
+   * Requests the list of cached prefixes from each endpoint of the region, once per endpoint. After
+   * all entries crash at the same time, the endpoints still cache every prefix, and an entry that
+   * does not know them assumes a long prefill for each request: of 35 long prompts in the first two
+   * seconds, 30 were placed on that assumption, and 41 requests were rejected.
+   */
+  void requestListings() {
     if (!settings.disabledMechanisms().contains(PlacementMechanism.PREFIX_LISTING)) {
-      trackers.get().stream().filter(this::asks).forEach(this::ask);
+      trackers.get().stream().filter(this::startsListing).forEach(this::requestListing);
     }
   }
 
-  private boolean asks(EndpointTracker tracker) {
+  private boolean startsListing(EndpointTracker tracker) {
     EndpointRecord record = tracker.record();
     return settings.inOwnRegion(record.failureDomain())
         && record.state() == EndpointState.READY
         && engineOfService.apply(record.service()).filter(ServiceSpec.Engine::fetches).isPresent()
-        && asked.add(record.id());
+        && listingRequested.add(record.id());
   }
 
-  private void ask(EndpointTracker tracker) {
+  private void requestListing(EndpointTracker tracker) {
     listing
         .list(tracker.record().address())
         .onSuccess(parts -> tracker.recordPrefix(parts, kvCapacityOf(tracker)))
-        .onComplete(answer -> logListed(tracker.record(), answer));
+        .onComplete(response -> logListing(tracker.record(), response));
   }
 
   private long kvCapacityOf(EndpointTracker tracker) {
@@ -127,15 +147,15 @@
         .orElse(0L);
   }
 
-  private static void logListed(EndpointRecord record, AsyncResult<List<PromptPart>> answer) {
+  private static void logListing(EndpointRecord record, AsyncResult<List<PromptPart>> response) {
     LOG.log(
         System.Logger.Level.INFO,
         "prefixes.listed",
         "endpoint",
         record.id(),
         "parts",
-        answer.succeeded() ? answer.result().size() : 0,
+        response.succeeded() ? response.result().size() : 0,
         "outcome",
-        answer.succeeded() ? "answered" : String.valueOf(answer.cause().getMessage()));
+        response.succeeded() ? "answered" : String.valueOf(response.cause().getMessage()));
   }
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
@@ -22,16 +22,22 @@
 import org.lacewingcroft.request.RequestFingerprint;
 
 /**
- * The request contents that an entry does not send to endpoints because they crash the endpoints that run them. The entry reports to the control instances which contents were running when endpoints crashed, repeating a report until one of them has confirmed it, and receives from them which contents are quarantined; its own observations apply immediately.
+ * The request contents that an entry does not send to endpoints because they crash the endpoints
+ * that run them. The entry reports to the control instances which contents were running when
+ * endpoints crashed, repeating a report until one of them has confirmed it, and receives from them
+ * which contents are quarantined; its own observations apply immediately.
  *
  * <p>Confined to the event loop thread.
  */
 public final class RequestQuarantine {
-  /** Delay in which suspicions are batched: an endpoint that crashes closes the connections of all its requests at the same time, and they are reported in one message. */
-  private static final long GATHER_MILLIS = 5;
+  /**
+   * Delay in which suspicions are batched: an endpoint that crashes closes the connections of all
+   * its requests at the same time, and they are reported in one message.
+   */
+  private static final long BATCH_DELAY_MILLIS = 5;
 
   /** Maximum number of messages retained until they are confirmed. */
-  private static final int MOST_UNCONFIRMED = 64;
+  private static final int MAX_UNCONFIRMED = 64;
 
   private final Vertx vertx;
   private final String name;
@@ -42,18 +48,21 @@
   private final Supplier<List<String>> entries;
   private final SuspicionLedger ledger = new SuspicionLedger();
   private final RecentCompletions completions = new RecentCompletions();
-  private final UnansweredRuns unanswered = new UnansweredRuns();
+  private final UnansweredRuns unansweredRuns = new UnansweredRuns();
   private final QuarantineTrials trials = new QuarantineTrials();
   private final CrashProbe probe;
-  private final PendingCrashProbes pending = new PendingCrashProbes();
-  private final List<Suspicion> gathered = new ArrayList<>();
-  private final Map<Long, Told> unconfirmed = BoundedMap.evictingOldest(MOST_UNCONFIRMED);
+  private final PendingCrashProbes pendingProbes = new PendingCrashProbes();
+  private final List<Suspicion> nextBatch = new ArrayList<>();
+  private final Map<Long, Batch> unconfirmed = BoundedMap.evictingOldest(MAX_UNCONFIRMED);
   private long nextCallId = 1;
 
-  /** A batch of suspicions and the instant to which their ages refer; a later resend has to increase the ages by the time since then. */
-  private record Told(List<Suspicion> suspicions, Instant gatheredAt) {
-    private List<Suspicion> at(Instant now) {
-      Duration since = Duration.between(gatheredAt, now);
+  /**
+   * A batch of suspicions and the instant to which their ages refer; a later resend has to increase
+   * the ages by the time since then.
+   */
+  private record Batch(List<Suspicion> suspicions, Instant batchedAt) {
+    private List<Suspicion> agedTo(Instant now) {
+      Duration since = Duration.between(batchedAt, now);
       return suspicions.stream().map(s -> s.agedBy(since)).toList();
     }
   }
@@ -84,15 +93,18 @@
     this.probe = new CrashProbe(vertx);
   }
 
-  /** Returns how long a content remains quarantined, or empty if it may run. Now and then a quarantined content is allowed to run as a trial. */
+  /**
+   * Returns how long a content remains quarantined, or empty if it may run. Now and then a
+   * quarantined content is allowed to run as a trial.
+   */
   public Optional<Duration> remainingQuarantine(RequestFingerprint content) {
     Instant now = clock.instant();
-    Optional<Suspicion> known = ledger.quarantined(content, now);
-    if (known.isEmpty()) {
+    Optional<Suspicion> suspicion = ledger.quarantined(content, now);
+    if (suspicion.isEmpty()) {
       return Optional.empty();
     }
-    if (trials.tryStartTrial(known.get(), name, entries.get(), now)) {
-      QuarantineLog.logTrial(known.get());
+    if (trials.tryStartTrial(suspicion.get(), name, entries.get(), now)) {
+      QuarantineLog.logTrial(suspicion.get());
       return Optional.empty();
     }
     return ledger.remainingQuarantine(content, now);
@@ -108,98 +120,106 @@
     Instant now = clock.instant();
     completions.record(content, now);
     if (ledger.quarantined(content, now).isPresent()) {
-      learn(Suspicion.cleared(content));
+      recordAndReport(Suspicion.cleared(content));
     }
   }
 
-  /** Records that an endpoint closed the connection on which it was running a content. This counts as evidence against the content only if the endpoint turns out to have crashed. */
+  /**
+   * Records that an endpoint closed the connection on which it was running a content. This counts
+   * as evidence against the content only if the endpoint turns out to have crashed.
+   */
   public void connectionLost(EndpointTracker endpoint, RequestFingerprint content) {
-    unanswered(endpoint.record(), content, UnansweredRuns.Kind.BROKEN_OFF);
-    Future<Boolean> verdict =
+    recordUnanswered(endpoint.record(), content, UnansweredRuns.Kind.BROKEN_OFF);
+    Future<Boolean> result =
         probe
             .hasCrashed(SocketAddresses.parse(endpoint.record().address()))
             .onSuccess(
-                hasEnded -> {
-                  if (hasEnded) {
-                    ended(endpoint.record(), endpoint.lastByteAt());
+                hasCrashed -> {
+                  if (hasCrashed) {
+                    endpointCrashed(endpoint.record(), endpoint.lastByteAt());
                   }
                 });
-    pending.add(content, verdict);
+    pendingProbes.add(content, result);
   }
 
   /** Returns the crash probe result that a content must wait for before it may run. */
   public Optional<Future<Boolean>> pendingCrashProbe(RequestFingerprint content) {
-    return pending.get(content);
+    return pendingProbes.get(content);
   }
 
   /** Records that this entry stopped waiting for an endpoint's response to a content. */
   public void abandoned(EndpointRecord endpoint, RequestFingerprint content) {
-    unanswered(endpoint, content, UnansweredRuns.Kind.GIVEN_UP);
+    recordUnanswered(endpoint, content, UnansweredRuns.Kind.GIVEN_UP);
   }
 
-  private void unanswered(
+  private void recordUnanswered(
       EndpointRecord endpoint, RequestFingerprint content, UnansweredRuns.Kind kind) {
-    unanswered
+    unansweredRuns
         .record(endpoint.incarnationId(), content, kind, clock.instant())
         .ifPresent(this::suspect);
   }
 
   /**
-   * Records that an endpoint has crashed: it refuses connections, was replaced, or no longer announces itself.
+   * Records that an endpoint has crashed: it refuses connections, was replaced, or no longer
+   * announces itself.
    *
    * @param lastByteAt when this entry last received a byte from it
    */
-  void ended(EndpointRecord endpoint, Instant lastByteAt) {
-    unanswered
+  void endpointCrashed(EndpointRecord endpoint, Instant lastByteAt) {
+    unansweredRuns
         .endpointCrashed(endpoint.incarnationId(), lastByteAt, clock.instant())
         .forEach(this::suspect);
   }
 
   /** Records that an endpoint that was presumed lost has recovered, as the same incarnation. */
-  void returned(EndpointRecord endpoint) {
-    unanswered.endpointRecovered(endpoint.incarnationId());
+  void endpointRecovered(EndpointRecord endpoint) {
+    unansweredRuns.endpointRecovered(endpoint.incarnationId());
     ledger.retractCrash(endpoint.incarnationId(), clock.instant());
   }
 
   private void suspect(Suspicion suspicion) {
     if (!completions.isRecentlyCompleted(suspicion.content(), clock.instant())) {
-      learn(suspicion);
+      recordAndReport(suspicion);
     }
   }
 
   /** Applies a local observation and schedules its report. */
-  private void learn(Suspicion suspicion) {
+  private void recordAndReport(Suspicion suspicion) {
     ledger
         .merge(suspicion, clock.instant())
         .ifPresent(known -> QuarantineLog.logChange(known, "seen here"));
-    if (gathered.isEmpty()) {
-      vertx.setTimer(GATHER_MILLIS, id -> tell());
+    if (nextBatch.isEmpty()) {
+      vertx.setTimer(BATCH_DELAY_MILLIS, id -> sendBatch());
     }
-    gathered.add(suspicion);
+    nextBatch.add(suspicion);
   }
 
-  private void tell() {
+  private void sendBatch() {
     long callId = nextCallId++;
-    unconfirmed.put(callId, new Told(List.copyOf(gathered), clock.instant()));
-    gathered.clear();
+    unconfirmed.put(callId, new Batch(List.copyOf(nextBatch), clock.instant()));
+    nextBatch.clear();
     send(callId);
   }
 
   private void send(long callId) {
-    List<Suspicion> suspicions = unconfirmed.get(callId).at(clock.instant());
+    List<Suspicion> suspicions = unconfirmed.get(callId).agedTo(clock.instant());
     transport.sendAll(controls.get(), new FleetMessage.SuspicionUpdate(self, callId, suspicions));
   }
 
   /** Resends the reports that no control instance has confirmed, and removes expired evidence. */
-  void repeat() {
+  void resendUnconfirmed() {
     Instant now = clock.instant();
     ledger.expire(now);
-    unanswered.expire(now);
+    unansweredRuns.expire(now);
     List.copyOf(unconfirmed.keySet()).forEach(this::send);
   }
 
-  /** Applies suspicions from a control instance. A content that an endpoint has recently completed for this entry does not crash every endpoint that runs it, and the instances that suspect it cannot know this; such a content is reported as cleared. */
-  void heard(FleetMessage.SuspicionUpdate update) {
+  /**
+   * Applies suspicions from a control instance. A content that an endpoint has recently completed
+   * for this entry does not crash every endpoint that runs it, and the instances that suspect it
+   * cannot know this; such a content is reported as cleared.
+   */
+  void onSuspicionUpdate(FleetMessage.SuspicionUpdate update) {
     Instant now = clock.instant();
     for (Suspicion suspicion : update.suspicions()) {
       ledger
@@ -208,13 +228,13 @@
       RequestFingerprint content = suspicion.content();
       if (ledger.quarantined(content, now).isPresent()
           && completions.isRecentlyCompleted(content, now)) {
-        learn(Suspicion.cleared(content));
+        recordAndReport(Suspicion.cleared(content));
       }
     }
   }
 
   /** Removes a report that a control instance has confirmed. */
-  void confirmed(FleetMessage.SuspicionAck ack) {
+  void onSuspicionAck(FleetMessage.SuspicionAck ack) {
     unconfirmed.remove(ack.callId());
   }
 
@@ -223,15 +243,18 @@
     return ledger.quarantinedDigest();
   }
 
-  /** Sends the quarantined contents to a control instance whose digest differs, for example because it lost them in a restart. */
+  /**
+   * Sends the quarantined contents to a control instance whose digest differs, for example because
+   * it lost them in a restart.
+   */
   void compare(FleetMessage.ControlPulse pulse) {
     if (pulse.quarantineDigest() == digest()) {
       return;
     }
-    List<Suspicion> known =
+    List<Suspicion> quarantined =
         ledger.withCrashesOrCleared(Suspicion.QUARANTINE_THRESHOLD, clock.instant());
-    if (!known.isEmpty()) {
-      transport.send(pulse.from(), new FleetMessage.SuspicionUpdate(self, 0, known));
+    if (!quarantined.isEmpty()) {
+      transport.send(pulse.from(), new FleetMessage.SuspicionUpdate(self, 0, quarantined));
     }
   }
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RosterLog.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RosterLog.java
@@ -14,7 +14,7 @@
    * @param perSecond the limit in requests per second, empty if there is none
    * @param cause the entry that reported it, or the status of the response that advertised it
    */
-  static void rateLimitChanged(String endpoint, OptionalDouble perSecond, Object cause) {
+  static void logRateLimitChange(String endpoint, OptionalDouble perSecond, Object cause) {
     LOG.log(
         System.Logger.Level.INFO,
         "endpoint.rate_limit_changed",
@@ -32,7 +32,7 @@
    * @param record the new record; its start and sequence number show how recent the evidence is
    * @param cause the instance that sent it, or what was observed locally
    */
-  static void changed(EndpointRecord record, String cause) {
+  static void logStateChange(EndpointRecord record, String cause) {
     LOG.log(
         System.Logger.Level.INFO,
         "endpoint.changed",
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionExchange.java
@@ -11,7 +11,11 @@
 import org.lacewingcroft.quarantine.SuspicionLedger;
 
 /**
- * The evidence that a control instance has on request contents that crash endpoints. It merges the observations of the entries: each entry sees only crashes during its own requests, and the same content may reach a different entry each time. New evidence is sent to the other control instances immediately, and to the entries if it quarantines or clears a content; digests detect lost messages.
+ * The evidence that a control instance has on request contents that crash endpoints. It merges the
+ * observations of the entries: each entry sees only crashes during its own requests, and the same
+ * content may reach a different entry each time. New evidence is sent to the other control
+ * instances immediately, and to the entries if it quarantines or clears a content; digests detect
+ * lost messages.
  *
  * <p>Confined to the event loop thread.
  */
@@ -87,18 +91,18 @@
   }
 
   /** Applies suspicions from an entry or another control instance. */
-  void heard(FleetMessage.SuspicionUpdate update) {
+  void onSuspicionUpdate(FleetMessage.SuspicionUpdate update) {
     Instant now = clock.instant();
-    List<Suspicion> learned = new ArrayList<>();
+    List<Suspicion> changed = new ArrayList<>();
     for (Suspicion suspicion : update.suspicions()) {
-      ledger.merge(suspicion, now).ifPresent(learned::add);
+      ledger.merge(suspicion, now).ifPresent(changed::add);
     }
-    learned.forEach(known -> QuarantineLog.logChange(known, update.from()));
+    changed.forEach(known -> QuarantineLog.logChange(known, update.from()));
     save();
-    tell(entries.get(), learned.stream().filter(SuspicionExchange::concernsEntries).toList());
+    send(entries.get(), changed.stream().filter(SuspicionExchange::concernsEntries).toList());
     // Suspicions from another control instance are not forwarded: it sends them to all of them.
     if (update.callId() != 0) {
-      tell(otherControls.get(), learned);
+      send(otherControls.get(), changed);
       transport.send(update.from(), new FleetMessage.SuspicionAck(update.callId()));
     }
   }
@@ -107,7 +111,7 @@
     return suspicion.isQuarantined() || suspicion.clearedAge().isPresent();
   }
 
-  private void tell(List<String> peers, List<Suspicion> suspicions) {
+  private void send(List<String> peers, List<Suspicion> suspicions) {
     if (!suspicions.isEmpty()) {
       transport.sendAll(peers, new FleetMessage.SuspicionUpdate(self, 0, suspicions));
     }
@@ -116,7 +120,7 @@
   /** Sends an entry the quarantined contents if the digest in its report differs. */
   void compare(FleetMessage.EntryReport report) {
     if (report.quarantineDigest() != quarantineDigest()) {
-      tell(
+      send(
           List.of(report.entry().peerAddress()),
           ledger.withCrashesOrCleared(Suspicion.QUARANTINE_THRESHOLD, clock.instant()));
     }
@@ -125,19 +129,19 @@
   /** Sends another control instance the recurring contents if the digest in its message differs. */
   void compare(FleetMessage.ControlHello hello) {
     if (hello.recurringDigest() != recurringDigest()) {
-      tell(
+      send(
           List.of(hello.from()),
           ledger.withCrashesOrCleared(SuspicionLedger.RECURRING_THRESHOLD, clock.instant()));
     }
   }
 
   /** Retracts the evidence that this endpoint crashed, since it has recovered. */
-  void returned(EndpointRecord endpoint) {
+  void endpointRecovered(EndpointRecord endpoint) {
     ledger.retractCrash(endpoint.incarnationId(), clock.instant());
   }
 
   /** Removes expired evidence and saves the rest. */
-  void maintain() {
+  void expireAndSave() {
     ledger.expire(clock.instant());
     save();
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionStore.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionStore.java
@@ -11,9 +11,11 @@
 import org.lacewingcroft.quarantine.Suspicion;
 
 /**
- * Stores recurring request contents on a control instance's disk, to retain them when all instances restart at the same time.
+ * Stores recurring request contents on a control instance's disk, to retain them when all instances
+ * restart at the same time.
  *
- * <p>The file has two records: the time at which it was written, in Unix milliseconds as 8 bytes, and a {@link FleetMessage.SuspicionUpdate}.
+ * <p>The file has two records: the time at which it was written, in Unix milliseconds as 8 bytes,
+ * and a {@link FleetMessage.SuspicionUpdate}.
  */
 final class SuspicionStore {
   private static final String FILE = "quarantine";
@@ -53,15 +55,17 @@
     if (records.size() < RECORDS || records.get(0).length != Long.BYTES) {
       return List.of();
     }
-    Duration since = since(Instant.ofEpochMilli(ByteBuffer.wrap(records.get(0)).getLong()));
-    return FleetCodec.decode(records.get(1)) instanceof FleetMessage.SuspicionUpdate kept
-        ? kept.suspicions().stream().map(s -> s.agedBy(since)).toList()
+    Duration elapsed = timeSince(Instant.ofEpochMilli(ByteBuffer.wrap(records.get(0)).getLong()));
+    return FleetCodec.decode(records.get(1)) instanceof FleetMessage.SuspicionUpdate stored
+        ? stored.suspicions().stream().map(s -> s.agedBy(elapsed)).toList()
         : List.of();
   }
 
-  /** Returns the time since the file was written, or zero if the wall clock was set back since then. */
-  private Duration since(Instant written) {
-    Duration since = Duration.between(written, wallClock.instant());
-    return since.isNegative() ? Duration.ZERO : since;
+  /**
+   * Returns the time since the file was written, or zero if the wall clock was set back since then.
+   */
+  private Duration timeSince(Instant written) {
+    Duration elapsed = Duration.between(written, wallClock.instant());
+    return elapsed.isNegative() ? Duration.ZERO : elapsed;
   }
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/UpdateAggregator.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/UpdateAggregator.java
@@ -13,29 +13,32 @@
 import org.lacewingcroft.fleet.FleetMessage.News;
 
 /**
- * The part of a control instance that collects the updates of a region's entries and sends each entry the updates of the others, and sends the aggregators of other regions the updates that concern them. It holds no state that must survive a crash: entries report their load again within a second.
+ * The part of a control instance that collects the updates of a region's entries and sends each
+ * entry the updates of the others, and sends the aggregators of other regions the updates that
+ * concern them. It holds no state that must survive a crash: entries report their load again within
+ * a second.
  *
  * <p>Confined to the event loop thread.
  */
 final class UpdateAggregator {
   /** Interval at which due digests are checked for. */
-  private static final long TICK_MILLIS = 40;
+  private static final long TICK_INTERVAL_MILLIS = 40;
 
   /** Time without updates from a region's entries after which they receive no more digests. */
-  private static final Duration SERVED = Duration.ofSeconds(2);
+  private static final Duration REGION_TIMEOUT = Duration.ofSeconds(2);
 
   private final FleetTransport transport;
   private final InstantSource clock;
   private final String self;
   private final Function<String, Collection<String>> entriesOfRegion;
   private final Supplier<Collection<String>> otherControls;
-  private final Map<String, Served> regions = new TreeMap<>();
+  private final Map<String, ServedRegion> regions = new TreeMap<>();
 
   /** A region whose entries have selected this aggregator. */
-  private static final class Served {
-    private final UpdateBuffer digest = new UpdateBuffer();
-    private final RemoteUpdateBuffer remote = new RemoteUpdateBuffer();
-    private Instant heardAt;
+  private static final class ServedRegion {
+    private final UpdateBuffer digestBuffer = new UpdateBuffer();
+    private final RemoteUpdateBuffer remoteBuffer = new RemoteUpdateBuffer();
+    private Instant lastUpdateAt;
   }
 
   /**
@@ -59,55 +62,59 @@
   }
 
   void start(Vertx vertx) {
-    vertx.setPeriodic(TICK_MILLIS, id -> tick());
+    vertx.setPeriodic(TICK_INTERVAL_MILLIS, id -> tick());
   }
 
   /** Buffers an entry's updates. */
-  void heard(FleetMessage.EntryNews told) {
+  void onUpdates(FleetMessage.EntryNews message) {
     Instant now = clock.instant();
-    Served own = regions.computeIfAbsent(told.region(), r -> new Served());
-    own.heardAt = now;
-    own.digest.add(told.news(), told.urgent());
-    own.remote.add(told.news(), now);
+    ServedRegion served = regions.computeIfAbsent(message.region(), r -> new ServedRegion());
+    served.lastUpdateAt = now;
+    served.digestBuffer.add(message.news(), message.urgent());
+    served.remoteBuffer.add(message.news(), now);
     News forOtherRegions =
         new News(
-            List.of(), told.news().prefixes(), told.news().regionLoads(), told.news().quotaUsage());
-    addToOthers(told.region(), forOtherRegions);
+            List.of(),
+            message.news().prefixes(),
+            message.news().regionLoads(),
+            message.news().quotaUsage());
+    addToOtherRegions(message.region(), forOtherRegions);
   }
 
   /** Buffers the updates of another region, received from its aggregator. */
-  void heard(FleetMessage.RemoteNews told) {
-    addToOthers(told.region(), told.news());
+  void onUpdates(FleetMessage.RemoteNews message) {
+    addToOtherRegions(message.region(), message.news());
   }
 
-  private void addToOthers(String origin, News news) {
+  private void addToOtherRegions(String origin, News updates) {
     regions.forEach(
         (region, served) -> {
           if (!region.equals(origin)) {
-            served.digest.add(news, false);
+            served.digestBuffer.add(updates, false);
           }
         });
   }
 
   private void tick() {
     Instant now = clock.instant();
-    regions.values().removeIf(s -> s.heardAt.plus(SERVED).isBefore(now));
-    regions.forEach((region, served) -> tell(region, served, now));
+    regions.values().removeIf(s -> s.lastUpdateAt.plus(REGION_TIMEOUT).isBefore(now));
+    regions.forEach((region, served) -> sendDue(region, served, now));
   }
 
-  private void tell(String region, Served served, Instant now) {
+  private void sendDue(String region, ServedRegion served, Instant now) {
     served
-        .digest
-        .take(now)
+        .digestBuffer
+        .drainIfDue(now)
         .ifPresent(
-            news ->
+            updates ->
                 transport.sendAll(
-                    entriesOfRegion.apply(region), new FleetMessage.NewsDigest(self, news)));
+                    entriesOfRegion.apply(region), new FleetMessage.NewsDigest(self, updates)));
     served
-        .remote
-        .take(now)
+        .remoteBuffer
+        .drainIfDue(now)
         .ifPresent(
-            news ->
-                transport.sendAll(otherControls.get(), new FleetMessage.RemoteNews(region, news)));
+            updates ->
+                transport.sendAll(
+                    otherControls.get(), new FleetMessage.RemoteNews(region, updates)));
   }
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/UpdateChannel.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/UpdateChannel.java
@@ -5,25 +5,25 @@
 /** A channel through which an entry sends its updates to the other entries. */
 interface UpdateChannel {
   /** Returns the interval between two regular load reports, in ms. */
-  long pauseMillis();
+  long reportIntervalMillis();
 
   /**
    * Sends this entry's load to the entries of its region.
    *
    * @param urgent whether they need it before the next regular report
    */
-  void work(FleetMessage.LoadReport report, boolean urgent);
+  void sendLoad(FleetMessage.LoadReport report, boolean urgent);
 
   /**
    * Sends the quota used by callers to the entries of all regions.
    *
    * @param usage quota used, by organisation name; not empty
    */
-  void quotaUses(Map<String, Long> uses);
+  void sendQuotaUsage(Map<String, Long> usage);
 
   /** Reports to the entries of all regions that an endpoint has prefilled a prompt prefix. */
-  void prefixRead(FleetMessage.PrefixRead read);
+  void sendPrefixRead(FleetMessage.PrefixRead read);
 
   /** Sends this region's load to the other regions. */
-  void regionLoad(FleetMessage.RegionLoad load);
+  void sendRegionLoad(FleetMessage.RegionLoad load);
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointRecord.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointRecord.java
@@ -1,10 +1,12 @@
 package org.lacewingcroft.fleet;
 
 /**
- * The last announced state of an endpoint, or the state that the control instances have recorded for it.
+ * The last announced state of an endpoint, or the state that the control instances have recorded
+ * for it.
  *
  * @param id its id; an endpoint may restart under the same id
- * @param startedAtMillis when this incarnation started, in Unix milliseconds of its own clock; 0 if not announced
+ * @param startedAtMillis when this incarnation started, in Unix milliseconds of its own clock; 0 if
+ *     not announced
  * @param service the service it belongs to
  * @param address its listen address, {@code ip:port}
  * @param failureDomain its failure domain
@@ -46,14 +48,20 @@
     return startedAtMillis > other.startedAtMillis;
   }
 
-  /** Returns whether this record reports an incarnation as ready that the earlier record reported as lost. */
+  /**
+   * Returns whether this record reports an incarnation as ready that the earlier record reported as
+   * lost.
+   */
   public boolean recoversFrom(EndpointRecord earlier) {
     return earlier.state == EndpointState.LOST
         && state == EndpointState.READY
         && !startedAfter(earlier);
   }
 
-  /** Returns whether this record is newer than another one of the same id: from a later incarnation, whose sequence numbers restart, or a later announcement of the same incarnation. */
+  /**
+   * Returns whether this record is newer than another one of the same id: from a later incarnation,
+   * whose sequence numbers restart, or a later announcement of the same incarnation.
+   */
   public boolean supersedes(EndpointRecord older) {
     if (startedAtMillis != older.startedAtMillis) {
       return startedAfter(older);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetCodec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetCodec.java
@@ -9,9 +9,11 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Encodes and decodes {@link FleetMessage} as MessagePack: a type tag, then the fields in record order.
+ * Encodes and decodes {@link FleetMessage} as MessagePack: a type tag, then the fields in record
+ * order.
  *
- * <p>The fields are listed explicitly rather than found by a reflective object mapper, whose reflection would run again in each starting process, when a short start-up time matters most.
+ * <p>The fields are listed explicitly rather than found by a reflective object mapper, whose
+ * reflection would run again in each starting process, when a short start-up time matters most.
  */
 public final class FleetCodec {
   private static final int ENTRY_REPORT = 1;
@@ -46,67 +48,67 @@
   private static void pack(MessagePacker p, FleetMessage message) throws IOException {
     if (message instanceof FleetMessage.EntryReport r) {
       p.packInt(ENTRY_REPORT);
-      FleetRecords.packEntry(p, r.entry());
+      FleetRecordCodec.packEntry(p, r.entry());
       p.packBoolean(r.ready()).packBoolean(r.wantsUpdates()).packLong(r.revision());
       p.packInt(r.rosterDigest()).packInt(r.entriesDigest()).packInt(r.quarantineDigest());
       p.packLong(r.reportId());
     } else if (message instanceof FleetMessage.ControlPulse c) {
       p.packInt(CONTROL_PULSE).packString(c.from()).packString(c.region());
-      p.packBoolean(c.inMajority()).packBoolean(c.settled()).packLong(c.revision());
+      p.packBoolean(c.inMajority()).packBoolean(c.discoveryComplete()).packLong(c.revision());
       p.packInt(c.quarantineDigest());
-      FleetRecords.packStrings(p, c.controls());
+      FleetRecordCodec.packStrings(p, c.controls());
       p.packLong(c.reportId());
     } else if (message instanceof FleetMessage.ControlHello h) {
       p.packInt(CONTROL_HELLO).packString(h.from()).packInt(h.recurringDigest());
-      FleetRecords.packStrings(p, h.controls());
+      FleetRecordCodec.packStrings(p, h.controls());
     } else if (message instanceof FleetMessage.RosterUpdate u) {
       p.packInt(ROSTER_UPDATE).packString(u.from()).packLong(u.callId()).packBoolean(u.complete());
-      FleetRecords.packAll(p, u.records(), FleetRecords::packEndpoint);
+      FleetRecordCodec.packAll(p, u.records(), FleetRecordCodec::packEndpoint);
     } else if (message instanceof FleetMessage.RosterAck a) {
       p.packInt(ROSTER_ACK).packString(a.from()).packLong(a.callId());
     } else if (message instanceof FleetMessage.EntryList l) {
       p.packInt(ENTRY_LIST).packString(l.from());
-      FleetRecords.packAll(p, l.entries(), FleetRecords::packEntry);
+      FleetRecordCodec.packAll(p, l.entries(), FleetRecordCodec::packEntry);
     } else if (message instanceof FleetMessage.StateRequest r) {
       p.packInt(STATE_REQUEST).packString(r.from());
     } else if (message instanceof FleetMessage.StateOffer o) {
       p.packInt(STATE_OFFER).packLong(o.revision()).packLong(o.version());
       p.packString(o.document());
-      FleetRecords.packStrings(p, o.evacuatedDomains());
+      FleetRecordCodec.packStrings(p, o.evacuatedDomains());
     } else {
-      packOrderOrNews(p, message);
+      packOrderOrUpdate(p, message);
     }
   }
 
-  private static void packOrderOrNews(MessagePacker p, FleetMessage message) throws IOException {
+  private static void packOrderOrUpdate(MessagePacker p, FleetMessage message) throws IOException {
     if (message instanceof FleetMessage.ControlCall c) {
       p.packInt(CONTROL_CALL).packString(c.from()).packLong(c.callId());
-      p.packInt(c.order().ordinal()).packLong(c.version()).packString(c.text());
+      p.packInt(c.order().ordinal()).packLong(c.version()).packString(c.argument());
       p.packLong(c.baseRevision());
     } else if (message instanceof FleetMessage.ControlReply r) {
       p.packInt(CONTROL_REPLY).packLong(r.callId()).packBoolean(r.committed());
       p.packLong(r.version()).packString(r.document());
     } else if (message instanceof FleetMessage.LoadReport r) {
       p.packInt(LOAD_REPORT);
-      FleetRecords.packLoadReport(p, r);
+      FleetRecordCodec.packLoadReport(p, r);
     } else if (message instanceof FleetMessage.RegionLoad l) {
       p.packInt(REGION_LOAD);
-      FleetRecords.packRegionLoad(p, l);
+      FleetRecordCodec.packRegionLoad(p, l);
     } else if (message instanceof FleetMessage.PrefixRead r) {
       p.packInt(PREFIX_READ);
-      FleetRecords.packPrefixRead(p, r);
+      FleetRecordCodec.packPrefixRead(p, r);
     } else if (message instanceof FleetMessage.EntryNews n) {
       p.packInt(ENTRY_NEWS).packString(n.from()).packString(n.region()).packBoolean(n.urgent());
-      FleetRecords.packNews(p, n.news());
+      FleetRecordCodec.packNews(p, n.news());
     } else if (message instanceof FleetMessage.NewsDigest d) {
       p.packInt(NEWS_DIGEST).packString(d.from());
-      FleetRecords.packNews(p, d.news());
+      FleetRecordCodec.packNews(p, d.news());
     } else if (message instanceof FleetMessage.RemoteNews n) {
       p.packInt(REMOTE_NEWS).packString(n.region());
-      FleetRecords.packNews(p, n.news());
+      FleetRecordCodec.packNews(p, n.news());
     } else if (message instanceof FleetMessage.SuspicionUpdate u) {
       p.packInt(SUSPICION_UPDATE).packString(u.from()).packLong(u.callId());
-      FleetRecords.packAll(p, u.suspicions(), FleetRecords::packSuspicion);
+      FleetRecordCodec.packAll(p, u.suspicions(), FleetRecordCodec::packSuspicion);
     } else if (message instanceof FleetMessage.SuspicionAck a) {
       p.packInt(SUSPICION_ACK).packLong(a.callId());
     }
@@ -130,7 +132,7 @@
     return switch (type) {
       case ENTRY_REPORT ->
           new FleetMessage.EntryReport(
-              FleetRecords.unpackEntry(u),
+              FleetRecordCodec.unpackEntry(u),
               u.unpackBoolean(),
               u.unpackBoolean(),
               u.unpackLong(),
@@ -146,28 +148,28 @@
               u.unpackBoolean(),
               u.unpackLong(),
               u.unpackInt(),
-              FleetRecords.unpackStrings(u),
+              FleetRecordCodec.unpackStrings(u),
               u.unpackLong());
       case CONTROL_HELLO ->
           new FleetMessage.ControlHello(
-              u.unpackString(), u.unpackInt(), FleetRecords.unpackStrings(u));
+              u.unpackString(), u.unpackInt(), FleetRecordCodec.unpackStrings(u));
       case ROSTER_UPDATE ->
           new FleetMessage.RosterUpdate(
               u.unpackString(),
               u.unpackLong(),
               u.unpackBoolean(),
-              FleetRecords.unpackAll(u, FleetRecords::unpackEndpoint));
+              FleetRecordCodec.unpackAll(u, FleetRecordCodec::unpackEndpoint));
       case ROSTER_ACK -> new FleetMessage.RosterAck(u.unpackString(), u.unpackLong());
       case ENTRY_LIST ->
           new FleetMessage.EntryList(
-              u.unpackString(), FleetRecords.unpackAll(u, FleetRecords::unpackEntry));
+              u.unpackString(), FleetRecordCodec.unpackAll(u, FleetRecordCodec::unpackEntry));
       case STATE_REQUEST -> new FleetMessage.StateRequest(u.unpackString());
       case STATE_OFFER ->
           new FleetMessage.StateOffer(
               u.unpackLong(),
               u.unpackLong(),
               u.unpackString(),
-              Set.copyOf(FleetRecords.unpackStrings(u)));
+              Set.copyOf(FleetRecordCodec.unpackStrings(u)));
       case CONTROL_CALL ->
           new FleetMessage.ControlCall(
               u.unpackString(),
@@ -179,25 +181,30 @@
       case CONTROL_REPLY ->
           new FleetMessage.ControlReply(
               u.unpackLong(), u.unpackBoolean(), u.unpackLong(), u.unpackString());
-      case LOAD_REPORT -> FleetRecords.unpackLoadReport(u);
-      case REGION_LOAD -> FleetRecords.unpackRegionLoad(u);
-      case PREFIX_READ -> FleetRecords.unpackPrefixRead(u);
+      case LOAD_REPORT -> FleetRecordCodec.unpackLoadReport(u);
+      case REGION_LOAD -> FleetRecordCodec.unpackRegionLoad(u);
+      case PREFIX_READ -> FleetRecordCodec.unpackPrefixRead(u);
       case ENTRY_NEWS ->
           new FleetMessage.EntryNews(
-              u.unpackString(), u.unpackString(), u.unpackBoolean(), FleetRecords.unpackNews(u));
-      case NEWS_DIGEST -> new FleetMessage.NewsDigest(u.unpackString(), FleetRecords.unpackNews(u));
-      case REMOTE_NEWS -> new FleetMessage.RemoteNews(u.unpackString(), FleetRecords.unpackNews(u));
+              u.unpackString(),
+              u.unpackString(),
+              u.unpackBoolean(),
+              FleetRecordCodec.unpackNews(u));
+      case NEWS_DIGEST ->
+          new FleetMessage.NewsDigest(u.unpackString(), FleetRecordCodec.unpackNews(u));
+      case REMOTE_NEWS ->
+          new FleetMessage.RemoteNews(u.unpackString(), FleetRecordCodec.unpackNews(u));
       case SUSPICION_UPDATE ->
           new FleetMessage.SuspicionUpdate(
               u.unpackString(),
               u.unpackLong(),
-              FleetRecords.unpackAll(u, FleetRecords::unpackSuspicion));
+              FleetRecordCodec.unpackAll(u, FleetRecordCodec::unpackSuspicion));
       case SUSPICION_ACK -> new FleetMessage.SuspicionAck(u.unpackLong());
       default -> throw new IOException("unknown fleet message type " + type);
     };
   }
 
   private static FleetMessage.ControlOrder unpackOrder(MessageUnpacker u) throws IOException {
-    return FleetRecords.constant(FleetMessage.ControlOrder.values(), u.unpackInt());
+    return FleetRecordCodec.constantAt(FleetMessage.ControlOrder.values(), u.unpackInt());
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetMessage.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetMessage.java
@@ -7,7 +7,10 @@
 import org.lacewingcroft.limit.EndpointRateLimit;
 import org.lacewingcroft.quarantine.Suspicion;
 
-/** Messages between the entries and control instances of a fleet: membership, endpoint records, routing state, and endpoint load. Instance addresses are those of the peer transport. */
+/**
+ * Messages between the entries and control instances of a fleet: membership, endpoint records,
+ * routing state, and endpoint load. Instance addresses are those of the peer transport.
+ */
 public sealed interface FleetMessage {
 
   /**
@@ -15,7 +18,9 @@
    *
    * @param entry the entry
    * @param ready whether it accepts requests
-   * @param wantsUpdates whether the entry follows this control instance, that is, receives changes of its roster and entry list; an instance that it does not follow receives reports less often
+   * @param wantsUpdates whether the entry follows this control instance, that is, receives changes
+   *     of its roster and entry list; an instance that it does not follow receives reports less
+   *     often
    * @param revision the revision of its routing state
    * @param rosterDigest the digest of its roster
    * @param entriesDigest the digest of the entries it knows
@@ -39,7 +44,8 @@
    * @param from the control instance
    * @param region its region
    * @param inMajority whether it is connected to a majority of the control group
-   * @param discoveryComplete whether it has run long enough to know all endpoints that announce themselves
+   * @param discoveryComplete whether it has run long enough to know all endpoints that announce
+   *     themselves
    * @param revision the revision of its committed routing state
    * @param quarantineDigest the digest of the quarantined request contents it knows
    * @param controls the control instances it knows
@@ -49,7 +55,7 @@
       String from,
       String region,
       boolean inMajority,
-      boolean settled,
+      boolean discoveryComplete,
       long revision,
       int quarantineDigest,
       List<String> controls,
@@ -57,17 +63,20 @@
       implements FleetMessage {}
 
   /**
-   * A control instance's heartbeat to the others, which also requests admission to the control group.
+   * A control instance's heartbeat to the others, which also requests admission to the control
+   * group.
    *
    * @param from the control instance
-   * @param recurringDigest the digest of the request contents it knows that have crashed several endpoints
+   * @param recurringDigest the digest of the request contents it knows that have crashed several
+   *     endpoints
    * @param controls the control instances it knows
    */
   record ControlHello(String from, int recurringDigest, List<String> controls)
       implements FleetMessage {}
 
   /**
-   * Endpoint records: announcements forwarded between control instances, changes pushed to entries, or the complete roster.
+   * Endpoint records: announcements forwarded between control instances, changes pushed to entries,
+   * or the complete roster.
    *
    * @param from the sender
    * @param callId identifies the update in a {@link RosterAck}; 0 if none is requested
@@ -134,7 +143,12 @@
    * @param baseRevision the routing revision known to that instance when it received the order
    */
   record ControlCall(
-      String from, long callId, ControlOrder order, long version, String text, long baseRevision)
+      String from,
+      long callId,
+      ControlOrder order,
+      long version,
+      String argument,
+      long baseRevision)
       implements FleetMessage {}
 
   /**
@@ -149,7 +163,9 @@
       implements FleetMessage {}
 
   /**
-   * Request contents that are suspected of crashing endpoints. Entries report what they observe to the control instances, control instances forward it to each other, and all of them exchange which contents are quarantined.
+   * Request contents that are suspected of crashing endpoints. Entries report what they observe to
+   * the control instances, control instances forward it to each other, and all of them exchange
+   * which contents are quarantined.
    *
    * @param from the sender
    * @param callId identifies the message in a {@link SuspicionAck}; 0 if none is requested
@@ -187,7 +203,7 @@
       String endpoint,
       int running,
       List<UnreadPrompt> pendingPrompts,
-      Optional<EndpointRateLimit.Report> rate) {}
+      Optional<EndpointRateLimit.Report> rateLimit) {}
 
   /**
    * A prompt that was sent to an endpoint and is not yet prefilled.
@@ -199,7 +215,8 @@
   record UnreadPrompt(int priority, long tokens, long ageMillis) {}
 
   /**
-   * An entry's report that an endpoint has prefilled a prompt prefix, which other endpoints may fetch from its KV cache.
+   * An entry's report that an endpoint has prefilled a prompt prefix, which other endpoints may
+   * fetch from its KV cache.
    *
    * @param endpoint the endpoint's id
    * @param parts the prefilled parts, in order
@@ -235,7 +252,8 @@
   /**
    * A batch of updates that entries exchange, of one entry or merged from several.
    *
-   * @param loads the entries' load at endpoints; a later report of an entry follows its earlier ones
+   * @param loads the entries' load at endpoints; a later report of an entry follows its earlier
+   *     ones
    * @param prefixes prompt prefixes that endpoints have prefilled
    * @param regionLoads the load of whole regions
    * @param quotaUsage quota used by callers, by organisation name
@@ -270,7 +288,8 @@
   record EntryNews(String from, String region, boolean urgent, News news) implements FleetMessage {}
 
   /**
-   * The updates that an aggregator has received since its last digest, sent to the entries of a region. An empty digest serves as a heartbeat.
+   * The updates that an aggregator has received since its last digest, sent to the entries of a
+   * region. An empty digest serves as a heartbeat.
    *
    * @param from the aggregator
    * @param news the updates, including the recipient's own
@@ -278,7 +297,8 @@
   record NewsDigest(String from, News news) implements FleetMessage {}
 
   /**
-   * The updates that concern other regions, sent by an aggregator to the aggregators of those regions.
+   * The updates that concern other regions, sent by an aggregator to the aggregators of those
+   * regions.
    *
    * @param region the region that the updates come from
    * @param news prefixes, the region's load and quota usage
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetRecords.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetRecordCodec.java
@@ -25,36 +25,39 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Packs and unpacks the records that fleet messages consist of, as MessagePack with the fields in record order. */
-final class FleetRecords {
+/**
+ * Packs and unpacks the records that fleet messages consist of, as MessagePack with the fields in
+ * record order.
+ */
+final class FleetRecordCodec {
   /** Maximum initial capacity of a list, regardless of the length that its sender claims. */
-  private static final int MOST_FORESEEN = 1_024;
+  private static final int MAX_INITIAL_CAPACITY = 1_024;
 
-  private FleetRecords() {}
+  private FleetRecordCodec() {}
 
   /** Packs one element of a list. */
-  interface Packing<T> {
+  interface ElementPacker<T> {
     void pack(MessagePacker p, T element) throws IOException;
   }
 
   /** Unpacks one element of a list. */
-  interface Unpacking<T> {
+  interface ElementUnpacker<T> {
     T unpack(MessageUnpacker u) throws IOException;
   }
 
-  static <T> void packAll(MessagePacker p, Collection<T> elements, Packing<T> packing)
+  static <T> void packAll(MessagePacker p, Collection<T> elements, ElementPacker<T> packer)
       throws IOException {
     p.packArrayHeader(elements.size());
     for (T element : elements) {
-      packing.pack(p, element);
+      packer.pack(p, element);
     }
   }
 
-  static <T> List<T> unpackAll(MessageUnpacker u, Unpacking<T> unpacking) throws IOException {
+  static <T> List<T> unpackAll(MessageUnpacker u, ElementUnpacker<T> unpacker) throws IOException {
     int count = u.unpackArrayHeader();
-    List<T> elements = new ArrayList<>(Math.min(count, MOST_FORESEEN));
+    List<T> elements = new ArrayList<>(Math.min(count, MAX_INITIAL_CAPACITY));
     for (int i = 0; i < count; i++) {
-      elements.add(unpacking.unpack(u));
+      elements.add(unpacker.unpack(u));
     }
     return elements;
   }
@@ -68,7 +71,7 @@
   }
 
   /** Returns the enum constant with the given ordinal. */
-  static <E> E constant(E[] values, int ordinal) throws IOException {
+  static <E> E constantAt(E[] values, int ordinal) throws IOException {
     if (ordinal < 0 || ordinal >= values.length) {
       throw new IOException("unknown enum ordinal " + ordinal);
     }
@@ -104,65 +107,66 @@
         u.unpackString(),
         u.unpackString(),
         u.unpackInt(),
-        constant(EndpointState.values(), u.unpackInt()),
+        constantAt(EndpointState.values(), u.unpackInt()),
         u.unpackLong(),
         u.unpackLong());
   }
 
   static void packSuspicion(MessagePacker p, Suspicion s) throws IOException {
     p.packLong(s.content().value());
-    packAll(p, s.crashes(), FleetRecords::packEnd);
+    packAll(p, s.crashes(), FleetRecordCodec::packCrash);
     p.packBoolean(s.clearedAge().isPresent());
     if (s.clearedAge().isPresent()) {
       p.packLong(s.clearedAge().get().toMillis());
     }
   }
 
-  private static void packEnd(MessagePacker p, EndpointCrash e) throws IOException {
+  private static void packCrash(MessagePacker p, EndpointCrash e) throws IOException {
     p.packString(e.incarnation()).packLong(e.age().toMillis()).packBoolean(e.detectedByTimeout());
   }
 
-  private static EndpointCrash unpackEnd(MessageUnpacker u) throws IOException {
+  private static EndpointCrash unpackCrash(MessageUnpacker u) throws IOException {
     return new EndpointCrash(
         u.unpackString(), Duration.ofMillis(u.unpackLong()), u.unpackBoolean());
   }
 
   static Suspicion unpackSuspicion(MessageUnpacker u) throws IOException {
     RequestFingerprint content = new RequestFingerprint(u.unpackLong());
-    Set<EndpointCrash> ends = Set.copyOf(unpackAll(u, FleetRecords::unpackEnd));
+    Set<EndpointCrash> crashes = Set.copyOf(unpackAll(u, FleetRecordCodec::unpackCrash));
     Optional<Duration> clearedAge =
         u.unpackBoolean() ? Optional.of(Duration.ofMillis(u.unpackLong())) : Optional.empty();
-    return new Suspicion(content, ends, clearedAge);
+    return new Suspicion(content, crashes, clearedAge);
   }
 
   static void packLoadReport(MessagePacker p, LoadReport r) throws IOException {
     p.packString(r.from()).packBoolean(r.complete());
-    packAll(p, r.loads(), FleetRecords::packEndpointLoad);
+    packAll(p, r.loads(), FleetRecordCodec::packEndpointLoad);
   }
 
   static LoadReport unpackLoadReport(MessageUnpacker u) throws IOException {
     return new LoadReport(
-        u.unpackString(), u.unpackBoolean(), unpackAll(u, FleetRecords::unpackEndpointLoad));
+        u.unpackString(), u.unpackBoolean(), unpackAll(u, FleetRecordCodec::unpackEndpointLoad));
   }
 
   private static void packEndpointLoad(MessagePacker p, EndpointLoad l) throws IOException {
     p.packString(l.endpoint()).packInt(l.running());
-    packAll(p, l.pendingPrompts(), FleetRecords::packUnread);
-    p.packBoolean(l.rate().isPresent());
-    if (l.rate().isPresent()) {
-      packRate(p, l.rate().get());
+    packAll(p, l.pendingPrompts(), FleetRecordCodec::packUnreadPrompt);
+    p.packBoolean(l.rateLimit().isPresent());
+    if (l.rateLimit().isPresent()) {
+      packRateLimit(p, l.rateLimit().get());
     }
   }
 
-  private static void packRate(MessagePacker p, EndpointRateLimit.Report rate) throws IOException {
-    p.packBoolean(rate.perSecond().isPresent());
-    if (rate.perSecond().isPresent()) {
-      p.packDouble(rate.perSecond().getAsDouble());
+  private static void packRateLimit(MessagePacker p, EndpointRateLimit.Report rateLimit)
+      throws IOException {
+    p.packBoolean(rateLimit.perSecond().isPresent());
+    if (rateLimit.perSecond().isPresent()) {
+      p.packDouble(rateLimit.perSecond().getAsDouble());
     }
-    p.packLong(rate.age().toMillis());
+    p.packLong(rateLimit.age().toMillis());
   }
 
-  private static EndpointRateLimit.Report unpackRate(MessageUnpacker u) throws IOException {
+  private static EndpointRateLimit.Report unpackRateLimit(MessageUnpacker u) throws IOException {
     OptionalDouble perSecond =
         u.unpackBoolean() ? OptionalDouble.of(u.unpackDouble()) : OptionalDouble.empty();
     return new EndpointRateLimit.Report(perSecond, Duration.ofMillis(u.unpackLong()));
@@ -172,42 +176,42 @@
     return new EndpointLoad(
         u.unpackString(),
         u.unpackInt(),
-        unpackAll(u, FleetRecords::unpackUnread),
-        u.unpackBoolean() ? Optional.of(unpackRate(u)) : Optional.empty());
+        unpackAll(u, FleetRecordCodec::unpackUnreadPrompt),
+        u.unpackBoolean() ? Optional.of(unpackRateLimit(u)) : Optional.empty());
   }
 
-  private static void packUnread(MessagePacker p, UnreadPrompt prompt) throws IOException {
+  private static void packUnreadPrompt(MessagePacker p, UnreadPrompt prompt) throws IOException {
     p.packInt(prompt.priority()).packLong(prompt.tokens()).packLong(prompt.ageMillis());
   }
 
-  private static UnreadPrompt unpackUnread(MessageUnpacker u) throws IOException {
+  private static UnreadPrompt unpackUnreadPrompt(MessageUnpacker u) throws IOException {
     return new UnreadPrompt(u.unpackInt(), u.unpackLong(), u.unpackLong());
   }
 
   static void packPrefixRead(MessagePacker p, PrefixRead r) throws IOException {
     p.packString(r.endpoint());
-    packAll(p, r.parts(), FleetRecords::packPart);
+    packAll(p, r.parts(), FleetRecordCodec::packReadPart);
   }
 
   static PrefixRead unpackPrefixRead(MessageUnpacker u) throws IOException {
-    return new PrefixRead(u.unpackString(), unpackAll(u, FleetRecords::unpackPart));
+    return new PrefixRead(u.unpackString(), unpackAll(u, FleetRecordCodec::unpackReadPart));
   }
 
-  private static void packPart(MessagePacker p, ReadPart part) throws IOException {
+  private static void packReadPart(MessagePacker p, ReadPart part) throws IOException {
     p.packString(part.id()).packLong(part.tokens());
   }
 
-  private static ReadPart unpackPart(MessageUnpacker u) throws IOException {
+  private static ReadPart unpackReadPart(MessageUnpacker u) throws IOException {
     return new ReadPart(u.unpackString(), u.unpackLong());
   }
 
   static void packRegionLoad(MessagePacker p, RegionLoad l) throws IOException {
     p.packString(l.region());
-    packAll(p, l.services(), FleetRecords::packServiceLoad);
+    packAll(p, l.services(), FleetRecordCodec::packServiceLoad);
   }
 
   static RegionLoad unpackRegionLoad(MessageUnpacker u) throws IOException {
-    return new RegionLoad(u.unpackString(), unpackAll(u, FleetRecords::unpackServiceLoad));
+    return new RegionLoad(u.unpackString(), unpackAll(u, FleetRecordCodec::unpackServiceLoad));
   }
 
   private static void packServiceLoad(MessagePacker p, ServiceLoad l) throws IOException {
@@ -228,29 +232,29 @@
   }
 
   static void packNews(MessagePacker p, News news) throws IOException {
-    packAll(p, news.loads(), FleetRecords::packLoadReport);
-    packAll(p, news.prefixes(), FleetRecords::packPrefixRead);
-    packAll(p, news.regionLoads(), FleetRecords::packRegionLoad);
-    packAll(p, news.quotaUsage().entrySet(), FleetRecords::packQuotaUse);
+    packAll(p, news.loads(), FleetRecordCodec::packLoadReport);
+    packAll(p, news.prefixes(), FleetRecordCodec::packPrefixRead);
+    packAll(p, news.regionLoads(), FleetRecordCodec::packRegionLoad);
+    packAll(p, news.quotaUsage().entrySet(), FleetRecordCodec::packQuotaUsage);
   }
 
-  private static void packQuotaUse(MessagePacker p, Map.Entry<String, Long> use)
+  private static void packQuotaUsage(MessagePacker p, Map.Entry<String, Long> entry)
       throws IOException {
-    p.packString(use.getKey()).packLong(use.getValue());
+    p.packString(entry.getKey()).packLong(entry.getValue());
   }
 
-  private static Map<String, Long> unpackQuotaUses(MessageUnpacker u) throws IOException {
-    Map<String, Long> uses = new HashMap<>();
+  private static Map<String, Long> unpackQuotaUsage(MessageUnpacker u) throws IOException {
+    Map<String, Long> usage = new HashMap<>();
     unpackAll(u, element -> Map.entry(element.unpackString(), element.unpackLong()))
-        .forEach(use -> uses.merge(use.getKey(), use.getValue(), Long::sum));
-    return uses;
+        .forEach(entry -> usage.merge(entry.getKey(), entry.getValue(), Long::sum));
+    return usage;
   }
 
   static News unpackNews(MessageUnpacker u) throws IOException {
     return new News(
-        unpackAll(u, FleetRecords::unpackLoadReport),
-        unpackAll(u, FleetRecords::unpackPrefixRead),
-        unpackAll(u, FleetRecords::unpackRegionLoad),
-        unpackQuotaUses(u));
+        unpackAll(u, FleetRecordCodec::unpackLoadReport),
+        unpackAll(u, FleetRecordCodec::unpackPrefixRead),
+        unpackAll(u, FleetRecordCodec::unpackRegionLoad),
+        unpackQuotaUsage(u));
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/MajorityCount.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/QuorumSize.java
@@ -3,8 +3,8 @@
 import java.util.Set;
 
 /** Computes how many members must confirm a record so that a majority has it. */
-public final class MajorityCount {
-  private MajorityCount() {}
+public final class QuorumSize {
+  private QuorumSize() {}
 
   /**
    * Returns the number of members other than an instance that must confirm a record that it holds.
@@ -12,7 +12,7 @@
    * @param members the group's members
    * @param self the instance, which counts towards the majority only if it is a member
    */
-  public static int othersNeeded(Set<String> members, String self) {
+  public static int requiredConfirmations(Set<String> members, String self) {
     int majority = members.size() / 2 + 1;
     return members.contains(self) ? majority - 1 : majority;
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/RemoteUpdateBuffer.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/RemoteUpdateBuffer.java
@@ -13,49 +13,51 @@
 import org.lacewingcroft.fleet.FleetMessage.RegionLoad;
 
 /**
- * Buffers a region's updates for the other regions. Links between regions are slow and expensive, and one cache holder suffices to fetch a prefix from, so each prefix is sent once per interval, whichever endpoints have prefilled it.
+ * Buffers a region's updates for the other regions. Links between regions are slow and expensive,
+ * and one cache holder suffices to fetch a prefix from, so each prefix is sent once per interval,
+ * whichever endpoints have prefilled it.
  *
  * <p>Not thread-safe: confined to the instance's event loop thread.
  */
 public final class RemoteUpdateBuffer {
   /** Minimum interval between two messages. */
-  private static final Duration PAUSE = Duration.ofMillis(200);
+  private static final Duration MESSAGE_INTERVAL = Duration.ofMillis(200);
 
   /** Interval in which a prefix is sent at most once. */
-  private static final Duration PREFIX_PAUSE = Duration.ofSeconds(5);
+  private static final Duration PREFIX_INTERVAL = Duration.ofSeconds(5);
 
-  private final Map<List<ReadPart>, Instant> toldAt = new HashMap<>();
+  private final Map<List<ReadPart>, Instant> prefixSentAt = new HashMap<>();
   private final List<PrefixRead> prefixes = new ArrayList<>();
-  private final Map<String, Long> quotaUses = new HashMap<>();
+  private final Map<String, Long> quotaUsage = new HashMap<>();
   private Optional<RegionLoad> load = Optional.empty();
-  private Instant takenAt = Instant.EPOCH;
+  private Instant lastMessageAt = Instant.EPOCH;
 
   /** Adds the updates that concern other regions. */
-  public void add(News news, Instant now) {
-    for (PrefixRead read : news.prefixes()) {
-      if (toldAt.putIfAbsent(read.parts(), now) == null) {
+  public void add(News updates, Instant now) {
+    for (PrefixRead read : updates.prefixes()) {
+      if (prefixSentAt.putIfAbsent(read.parts(), now) == null) {
         prefixes.add(read);
       }
     }
-    for (RegionLoad newer : news.regionLoads()) {
+    for (RegionLoad newer : updates.regionLoads()) {
       load = Optional.of(newer);
     }
-    news.quotaUsage().forEach((name, use) -> quotaUses.merge(name, use, Long::sum));
+    updates.quotaUsage().forEach((name, used) -> quotaUsage.merge(name, used, Long::sum));
   }
 
   /** Removes and returns the updates if there are any and a message is due. */
-  public Optional<News> take(Instant now) {
-    boolean empty = prefixes.isEmpty() && load.isEmpty() && quotaUses.isEmpty();
-    if (empty || takenAt.plus(PAUSE).isAfter(now)) {
+  public Optional<News> drainIfDue(Instant now) {
+    boolean empty = prefixes.isEmpty() && load.isEmpty() && quotaUsage.isEmpty();
+    if (empty || lastMessageAt.plus(MESSAGE_INTERVAL).isAfter(now)) {
       return Optional.empty();
     }
-    takenAt = now;
-    toldAt.values().removeIf(at -> !at.plus(PREFIX_PAUSE).isAfter(now));
-    final News news =
-        new News(List.of(), List.copyOf(prefixes), load.stream().toList(), Map.copyOf(quotaUses));
-    quotaUses.clear();
+    lastMessageAt = now;
+    prefixSentAt.values().removeIf(at -> !at.plus(PREFIX_INTERVAL).isAfter(now));
+    final News updates =
+        new News(List.of(), List.copyOf(prefixes), load.stream().toList(), Map.copyOf(quotaUsage));
+    quotaUsage.clear();
     prefixes.clear();
     load = Optional.empty();
-    return Optional.of(news);
+    return Optional.of(updates);
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/StateLease.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/StateLease.java
@@ -6,23 +6,29 @@
 import org.lacewingcroft.misc.BoundedMap;
 
 /**
- * A lease on the routing state that an instance holds. The instance requests the state repeatedly; a reply that reports no newer state confirms its own for a limited time from when the request was sent, not from when the reply arrived, since replies may be delayed.
+ * A lease on the routing state that an instance holds. The instance requests the state repeatedly;
+ * a reply that reports no newer state confirms its own for a limited time from when the request was
+ * sent, not from when the reply arrived, since replies may be delayed.
  *
- * <p>The monotonic clock does not advance while the machine is suspended, but the wall clock does. A difference between the two therefore invalidates earlier confirmations.
+ * <p>The monotonic clock does not advance while the machine is suspended, but the wall clock does.
+ * A difference between the two therefore invalidates earlier confirmations.
  *
  * <p>Not thread-safe: confined to the instance's event loop thread.
  */
 public final class StateLease {
-  /** Maximum difference between the clocks that does not count as a suspension. It covers the delay between the two readings, which are taken one after the other. */
-  private static final Duration CLOCK_SLACK = Duration.ofMillis(500);
+  /**
+   * Maximum difference between the clocks that does not count as a suspension. It covers the delay
+   * between the two readings, which are taken one after the other.
+   */
+  private static final Duration MAX_CLOCK_DIFFERENCE = Duration.ofMillis(500);
 
   /** Maximum number of retained requests that have no reply yet. */
-  private static final int MOST_OPEN = 64;
+  private static final int MAX_OPEN_REQUESTS = 64;
 
   private final Duration validity;
-  private final Map<Long, Clocks> open = BoundedMap.evictingOldest(MOST_OPEN);
-  private long lastId;
-  private Clocks provedAt = new Clocks(Instant.MIN, Instant.MIN);
+  private final Map<Long, Clocks> openRequests = BoundedMap.evictingOldest(MAX_OPEN_REQUESTS);
+  private long lastRequestId;
+  private Clocks confirmedAt = new Clocks(Instant.MIN, Instant.MIN);
 
   /**
    * Readings of both clocks at one moment.
@@ -30,11 +36,11 @@
    * @param monotonic the clock that is never adjusted
    * @param wall the wall clock
    */
-  public record Clocks(Instant steady, Instant wall) {
-    private boolean isWithin(Duration time, Clocks since) {
-      Duration passed = Duration.between(since.steady, steady);
-      Duration drift = Duration.between(since.wall, wall).minus(passed).abs();
-      return passed.compareTo(time) < 0 && drift.compareTo(CLOCK_SLACK) < 0;
+  public record Clocks(Instant monotonic, Instant wall) {
+    private boolean isWithin(Duration limit, Clocks since) {
+      Duration elapsed = Duration.between(since.monotonic, monotonic);
+      Duration drift = Duration.between(since.wall, wall).minus(elapsed).abs();
+      return elapsed.compareTo(limit) < 0 && drift.compareTo(MAX_CLOCK_DIFFERENCE) < 0;
     }
   }
 
@@ -48,22 +54,22 @@
   }
 
   /** Records that a request is sent and returns its id, which is above 0. */
-  public long ask(Clocks now) {
-    lastId++;
-    open.put(lastId, now);
-    return lastId;
+  public long startRequest(Clocks now) {
+    lastRequestId++;
+    openRequests.put(lastRequestId, now);
+    return lastRequestId;
   }
 
   /** Records a reply that reports no newer state than the instance has. */
-  public void proved(long id) {
-    Clocks askedAt = open.get(id);
-    if (askedAt != null && askedAt.steady.isAfter(provedAt.steady)) {
-      provedAt = askedAt;
+  public void confirm(long requestId) {
+    Clocks requestedAt = openRequests.get(requestId);
+    if (requestedAt != null && requestedAt.monotonic.isAfter(confirmedAt.monotonic)) {
+      confirmedAt = requestedAt;
     }
   }
 
   /** Returns whether the instance may use its state. */
   public boolean isValid(Clocks now) {
-    return !provedAt.steady.equals(Instant.MIN) && now.isWithin(validity, provedAt);
+    return !confirmedAt.monotonic.equals(Instant.MIN) && now.isWithin(validity, confirmedAt);
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/AggregatorChoiceTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/AggregatorSelectorTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Tests which control instance an entry of the region "north" sends its updates to. */
-class AggregatorChoiceTest {
+class AggregatorSelectorTest {
   private static final Instant START = Instant.EPOCH.plusSeconds(100);
   private static final Duration STEP = Duration.ofMillis(100);
 
@@ -23,30 +23,38 @@
    * @param heartbeatsUntil the step from which it sends no heartbeats
    * @param digestsUntil the step from which it sends no digests
    */
-  private record Control(String address, String region, int pulsesUntil, int digestsUntil) {
-    private static Control sound(String address, String region) {
+  private record Control(String address, String region, int heartbeatsUntil, int digestsUntil) {
+    private static Control healthy(String address, String region) {
       return new Control(address, region, 100, 100);
     }
   }
 
   static Stream<Arguments> cases() {
-    Control near = Control.sound("10.0.0.1:7", "north");
-    Control alsoNear = Control.sound("10.0.0.2:7", "north");
-    Control far = Control.sound("10.0.0.0:7", "south");
-    Control dies = new Control("10.0.0.1:7", "north", 10, 10);
-    Control neverTells = new Control("10.0.0.1:7", "north", 100, 0);
-    Control stopsTelling = new Control("10.0.0.1:7", "north", 100, 20);
+    Control near = Control.healthy("10.0.0.1:7", "north");
+    Control alsoNear = Control.healthy("10.0.0.2:7", "north");
+    Control far = Control.healthy("10.0.0.0:7", "south");
+    Control crashes = new Control("10.0.0.1:7", "north", 10, 10);
+    Control neverSendsDigests = new Control("10.0.0.1:7", "north", 100, 0);
+    Control stopsSendingDigests = new Control("10.0.0.1:7", "north", 100, 20);
     return Stream.of(
         Arguments.of("none is known", List.of(), 5, Optional.empty()),
-        Arguments.of("an instance of the entry's region is preferred", List.of(far, near), 5, name(near)),
+        Arguments.of(
+            "an instance of the entry's region is preferred", List.of(far, near), 5, name(near)),
         Arguments.of("the first of two by address", List.of(alsoNear, near), 5, name(near)),
         Arguments.of("one of another region if it is the only one", List.of(far), 5, name(far)),
-        Arguments.of("the next one after a crash", List.of(dies, alsoNear, far), 30, name(alsoNear)),
-        Arguments.of("one of another region after a crash", List.of(dies, far), 30, name(far)),
-        Arguments.of("none after the last one crashes", List.of(dies), 30, Optional.empty()),
-        Arguments.of("not one that never sends digests", List.of(neverTells, far), 20, name(far)),
-        Arguments.of("not one that stops sending digests", List.of(stopsTelling, far), 35, name(far)),
-        Arguments.of("selected again after the backoff", List.of(neverTells, far), 41, name(neverTells)));
+        Arguments.of(
+            "the next one after a crash", List.of(crashes, alsoNear, far), 30, name(alsoNear)),
+        Arguments.of("one of another region after a crash", List.of(crashes, far), 30, name(far)),
+        Arguments.of("none after the last one crashes", List.of(crashes), 30, Optional.empty()),
+        Arguments.of(
+            "not one that never sends digests", List.of(neverSendsDigests, far), 20, name(far)),
+        Arguments.of(
+            "not one that stops sending digests", List.of(stopsSendingDigests, far), 35, name(far)),
+        Arguments.of(
+            "selected again after the backoff",
+            List.of(neverSendsDigests, far),
+            41,
+            name(neverSendsDigests)));
   }
 
   private static Optional<String> name(Control control) {
@@ -55,23 +63,23 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("cases")
-  void choosesTheBestThatTells(
+  void selectsBestCandidateThatSendsDigests(
       String name, List<Control> controls, int steps, Optional<String> expected) {
-    AggregatorChoice choice = new AggregatorChoice("north");
-    Optional<String> chosen = Optional.empty();
+    AggregatorSelector selector = new AggregatorSelector("north");
+    Optional<String> selected = Optional.empty();
     for (int step = 0; step <= steps; step++) {
       Instant now = START.plus(STEP.multipliedBy(step));
       for (Control control : controls) {
-        if (step < control.pulsesUntil()) {
-          choice.pulse(control.address(), control.region(), now);
+        if (step < control.heartbeatsUntil()) {
+          selector.onHeartbeat(control.address(), control.region(), now);
         }
         if (step < control.digestsUntil()) {
-          choice.digest(control.address());
+          selector.onDigest(control.address());
         }
       }
-      chosen = choice.current(now);
-      choice.told(now);
+      selected = selector.select(now);
+      selector.onUpdateSent(now);
     }
-    assertThat(chosen, is(expected));
+    assertThat(selected, is(expected));
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/DirectoryChoiceTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/DirectorySelectorTest.java
@@ -10,9 +10,13 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Tests which entries a caller of the region "north" is directed to. */
-class DirectoryChoiceTest {
-  /** A test case: the regions of the ready entries, the home regions of the host, and the expected addresses. */
-  record Row(String name, List<String> ready, Set<String> homes, int most, List<String> told) {
+class DirectorySelectorTest {
+  /**
+   * A test case: the regions of the ready entries, the home regions of the host, and the expected
+   * addresses.
+   */
+  record Row(
+      String name, List<String> ready, Set<String> homeRegions, int limit, List<String> expected) {
     @Override
     public String toString() {
       return name;
@@ -53,12 +57,14 @@
 
   @ParameterizedTest
   @MethodSource("rows")
-  void keepsCallersWhereTheirDataMayBe(Row row) {
+  void selectsEntriesInPermittedRegions(Row row) {
     List<EntryInfo> ready =
         Stream.iterate(0, i -> i < row.ready().size(), i -> i + 1)
             .map(i -> entry(row.ready().get(i), i))
             .toList();
-    assertThat(DirectoryChoice.of(ready, "north", row.homes(), row.most()), equalTo(row.told()));
+    assertThat(
+        DirectorySelector.select(ready, "north", row.homeRegions(), row.limit()),
+        equalTo(row.expected()));
   }
 
   private static EntryInfo entry(String region, int number) {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/EndpointRestartTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/EndpointRestartTest.java
@@ -22,32 +22,36 @@
   private static final EndpointState GONE = EndpointState.GONE;
 
   /** An announcement of one incarnation of an endpoint. */
-  record Word(String id, long startedAtMillis, EndpointState state, long sequence) {
+  record Announcement(String id, long startedAtMillis, EndpointState state, long sequence) {
     EndpointRecord record() {
       return new EndpointRecord(
           id, startedAtMillis, "s", "10.0.0.1:80", "a", 4, state, sequence, 0);
     }
   }
 
-  /** A test case: the announcements in order of arrival and the resulting record of endpoint "a". */
-  record Row(String name, List<Word> words, long startedAtMillis, EndpointState state) {
+  /**
+   * A test case: the announcements in order of arrival and the resulting record of endpoint "a".
+   */
+  record Row(
+      String name, List<Announcement> announcements, long startedAtMillis, EndpointState state) {
     @Override
     public String toString() {
       return name;
     }
   }
 
-  private static Word first(EndpointState state, long sequence) {
-    return new Word("a", 1_000, state, sequence);
+  private static Announcement first(EndpointState state, long sequence) {
+    return new Announcement("a", 1_000, state, sequence);
   }
 
-  private static Word second(EndpointState state, long sequence) {
-    return new Word("a", 2_000, state, sequence);
+  private static Announcement second(EndpointState state, long sequence) {
+    return new Announcement("a", 2_000, state, sequence);
   }
 
   static Stream<Row> rows() {
     return Stream.of(
-        new Row("sequence numbers restart", List.of(first(READY, 900), second(READY, 1)), 2_000, READY),
+        new Row(
+            "sequence numbers restart", List.of(first(READY, 900), second(READY, 1)), 2_000, READY),
         new Row(
             "late announcements of the earlier incarnation are ignored",
             List.of(first(READY, 900), second(READY, 1), first(DRAINING, 901)),
@@ -70,21 +74,21 @@
             READY),
         new Row(
             "an endpoint that started earlier does not take over the address",
-            List.of(second(READY, 1), new Word("b", 1_000, READY, 7)),
+            List.of(second(READY, 1), new Announcement("b", 1_000, READY, 7)),
             2_000,
             READY),
         new Row(
             "an endpoint that started later takes over the address",
-            List.of(first(READY, 7), new Word("b", 2_000, READY, 1)),
+            List.of(first(READY, 7), new Announcement("b", 2_000, READY, 1)),
             1_000,
             EndpointState.LOST));
   }
 
   @ParameterizedTest
   @MethodSource("rows")
-  void theLaterStartWins(Row row) {
+  void laterIncarnationWins(Row row) {
     EndpointRoster roster = new EndpointRoster();
-    row.words().forEach(w -> roster.applyAnnouncement(w.record(), START));
+    row.announcements().forEach(w -> roster.applyAnnouncement(w.record(), START));
     EndpointRecord known = roster.find("a").orElseThrow();
     assertThat(known.startedAtMillis(), equalTo(row.startedAtMillis()));
     assertThat(known.state(), equalTo(row.state()));
@@ -94,31 +98,35 @@
     return IntStream.range(0, 200).boxed();
   }
 
-  /** Checks that rosters agree regardless of the order in which two incarnations' announcements arrive. */
+  /**
+   * Checks that rosters agree regardless of the order in which two incarnations' announcements
+   * arrive.
+   */
   @ParameterizedTest
   @MethodSource("seeds")
-  void replicasAgreeWhateverTheOrder(int seed) {
+  void rostersAgreeRegardlessOfOrder(int seed) {
     Random random = new Random(seed);
-    List<Word> words = new ArrayList<>();
+    List<Announcement> announcements = new ArrayList<>();
     for (int i = 1; i <= 5; i++) {
-      words.add(first(READY, 100 + i));
-      words.add(second(READY, i));
+      announcements.add(first(READY, 100 + i));
+      announcements.add(second(READY, i));
     }
-    words.add(first(random.nextBoolean() ? GONE : DRAINING, 106));
+    announcements.add(first(random.nextBoolean() ? GONE : DRAINING, 106));
     Optional<EndpointState> last =
         random.nextBoolean()
             ? Optional.of(random.nextBoolean() ? GONE : DRAINING)
             : Optional.empty();
-    last.ifPresent(state -> words.add(second(state, 6)));
-    EndpointRoster one = shuffled(words, random);
-    EndpointRoster other = shuffled(words, random);
+    last.ifPresent(state -> announcements.add(second(state, 6)));
+    EndpointRoster one = rosterAfterShuffled(announcements, random);
+    EndpointRoster other = rosterAfterShuffled(announcements, random);
     assertThat(one.find("a").orElseThrow().startedAtMillis(), equalTo(2_000L));
     assertThat(one.find("a").orElseThrow().state(), equalTo(last.orElse(READY)));
     assertThat(one.digest(), equalTo(other.digest()));
   }
 
-  private static EndpointRoster shuffled(List<Word> words, Random random) {
-    List<Word> order = new ArrayList<>(words);
+  private static EndpointRoster rosterAfterShuffled(
+      List<Announcement> announcements, Random random) {
+    List<Announcement> order = new ArrayList<>(announcements);
     Collections.shuffle(order, random);
     EndpointRoster roster = new EndpointRoster();
     order.forEach(w -> roster.applyAnnouncement(w.record(), START));
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/EndpointRosterTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/EndpointRosterTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Tests announcements that arrive late, out of order, or from an address that another endpoint has taken over. */
+/**
+ * Tests announcements that arrive late, out of order, or from an address that another endpoint has
+ * taken over.
+ */
 class EndpointRosterTest {
   private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
   private static final Duration LEASE = Duration.ofSeconds(5);
@@ -21,22 +24,25 @@
   private static final EndpointState GONE = EndpointState.GONE;
 
   /** An announcement, or a record from another instance if it is a deregistration. */
-  record Word(String id, EndpointState state, long sequence) {}
+  record Announcement(String id, EndpointState state, long sequence) {}
 
-  /** A test case: the announcements in order of arrival and the resulting states of "old" and "new". */
-  record Row(String name, List<Word> words, EndpointState old, EndpointState fresh) {
+  /**
+   * A test case: the announcements in order of arrival and the resulting states of "old" and "new".
+   */
+  record Row(
+      String name, List<Announcement> announcements, EndpointState old, EndpointState fresh) {
     @Override
     public String toString() {
       return name;
     }
   }
 
-  private static Word old(EndpointState state, long sequence) {
-    return new Word("old", state, sequence);
+  private static Announcement old(EndpointState state, long sequence) {
+    return new Announcement("old", state, sequence);
   }
 
-  private static Word fresh(EndpointState state, long sequence) {
-    return new Word("new", state, sequence);
+  private static Announcement fresh(EndpointState state, long sequence) {
+    return new Announcement("new", state, sequence);
   }
 
   static Stream<Row> rows() {
@@ -48,9 +54,15 @@
             DRAINING,
             null),
         new Row(
-            "deregistration is final", List.of(old(READY, 1), old(GONE, 1), old(READY, 9)), GONE, null),
+            "deregistration is final",
+            List.of(old(READY, 1), old(GONE, 1), old(READY, 9)),
+            GONE,
+            null),
         new Row(
-            "a new incarnation takes over the address", List.of(old(READY, 7), fresh(READY, 1)), LOST, READY),
+            "a new incarnation takes over the address",
+            List.of(old(READY, 7), fresh(READY, 1)),
+            LOST,
+            READY),
         new Row(
             "one late announcement of the old one is ignored",
             List.of(old(READY, 7), fresh(READY, 1), old(READY, 8)),
@@ -70,13 +82,14 @@
 
   @ParameterizedTest
   @MethodSource("rows")
-  void believesTheNewestWord(Row row) {
+  void appliesNewestAnnouncement(Row row) {
     EndpointRoster roster = new EndpointRoster();
     Instant now = START;
-    for (Word word : row.words()) {
+    for (Announcement announcement : row.announcements()) {
       now = now.plusMillis(100);
-      EndpointRecord record = record(word.id(), word.state(), word.sequence(), 0);
-      if (word.state() == GONE) {
+      EndpointRecord record =
+          record(announcement.id(), announcement.state(), announcement.sequence(), 0);
+      if (announcement.state() == GONE) {
         roster.merge(record, now);
       } else {
         roster.applyAnnouncement(record, now);
@@ -92,7 +105,7 @@
   }
 
   @Test
-  void leaseEndsAndAnAnnouncementRenewsIt() {
+  void announcementRenewsExpiredLease() {
     EndpointRoster roster = new EndpointRoster();
     roster.applyAnnouncement(record("old", READY, 1, 0), START);
     Instant later = START.plus(LEASE).plusMillis(1);
@@ -104,7 +117,7 @@
   }
 
   @Test
-  void coldTimeRunsOffAndColdAgainIsNews() {
+  void coldTimeElapsesAndCoolingAgainIsChange() {
     EndpointRoster roster = new EndpointRoster();
     roster.applyAnnouncement(record("old", READY, 1, 3_000), START);
     long left = roster.records(START.plusMillis(1_000)).iterator().next().coldMillis();
@@ -117,7 +130,7 @@
   }
 
   @Test
-  void equalRostersHaveEqualDigestsWhateverTheOrder() {
+  void equalRostersHaveEqualDigestsRegardlessOfOrder() {
     EndpointRoster one = new EndpointRoster();
     EndpointRoster two = new EndpointRoster();
     one.merge(record("a", READY, 1, 0), START);
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/FleetCodecTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/FleetCodecTest.java
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void everyKindOfMessageIsTested() {
+  void testsEveryMessageType() {
     assertThat(
         messages().map(Object::getClass).toList(),
         containsInAnyOrder(FleetMessage.class.getPermittedSubclasses()));
@@ -101,7 +101,7 @@
 
   @ParameterizedTest
   @MethodSource("messages")
-  void readsWhatItWrote(FleetMessage message) throws IOException {
+  void decodesEncodedMessage(FleetMessage message) throws IOException {
     byte[] bytes = FleetCodec.encode(message);
     FleetMessage read = FleetCodec.decode(bytes);
     assertThat(read.getClass(), is((Object) message.getClass()));
@@ -113,7 +113,7 @@
 
   @ParameterizedTest
   @MethodSource("messages")
-  void refusesMessagesCutShort(FleetMessage message) throws IOException {
+  void rejectsTruncatedMessages(FleetMessage message) throws IOException {
     byte[] bytes = FleetCodec.encode(message);
     IntStream.range(0, bytes.length)
         .mapToObj(length -> Arrays.copyOf(bytes, length))
@@ -122,7 +122,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void otherBytesEndInMessageOrIoException(long seed) {
+  void arbitraryBytesYieldMessageOrIoException(long seed) {
     Random random = new Random(seed);
     for (int i = 0; i < 20_000; i++) {
       byte[] bytes = new byte[random.nextInt(40)];
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/MajorityCountTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/QuorumSizeTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class MajorityCountTest {
+class QuorumSizeTest {
   @ParameterizedTest
   @CsvSource({
     "1, member-0, 0",
@@ -19,9 +19,9 @@
     "1, non-member, 1",
     "5, non-member, 3"
   })
-  void countsTheOthers(int size, String self, int expected) {
+  void countsConfirmationsOfOthers(int size, String self, int expected) {
     Set<String> members =
         IntStream.range(0, size).mapToObj(i -> "member-" + i).collect(Collectors.toSet());
-    assertThat(MajorityCount.othersNeeded(members, self), equalTo(expected));
+    assertThat(QuorumSize.requiredConfirmations(members, self), equalTo(expected));
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/RelayPartnersTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/RelayPartnersTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tests that an entry relays to few partners, that they are stable, and that all entries of a region are used evenly. */
+/**
+ * Tests that an entry relays to few partners, that they are stable, and that all entries of a
+ * region are used evenly.
+ */
 class RelayPartnersTest {
   private static List<EntryInfo> entries(int count) {
     return IntStream.range(0, count)
@@ -23,12 +26,12 @@
 
   @ParameterizedTest
   @CsvSource({"0, 0", "1, 1", "2, 2", "3, 3", "20, 3"})
-  void areFew(int entries, int partners) {
+  void partnersAreFew(int entries, int partners) {
     assertThat(RelayPartners.of(entries(entries), "near"), hasSize(partners));
   }
 
   @Test
-  void stayWhenAnotherEntryLeaves() {
+  void partnersStayWhenAnotherEntryIsRemoved() {
     List<EntryInfo> all = entries(8);
     List<EntryInfo> partners = RelayPartners.of(all, "near");
     List<EntryInfo> fewer =
@@ -37,7 +40,7 @@
   }
 
   @Test
-  void shareTheLoad() {
+  void partnersAreSpreadEvenly() {
     Map<String, Integer> chosen = new HashMap<>();
     for (int i = 0; i < 20; i++) {
       RelayPartners.of(entries(20), "near-" + i)
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/StateLeaseTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/StateLeaseTest.java
@@ -15,7 +15,9 @@
 class StateLeaseTest {
   private static final Duration VALIDITY = Duration.ofSeconds(3);
 
-  /** Returns clock readings some time after the start, with the wall clock adjusted by a given step. */
+  /**
+   * Returns clock readings some time after the start, with the wall clock adjusted by a given step.
+   */
   private static Clocks at(long steadyMillis, long stepMillis) {
     return new Clocks(
         Instant.ofEpochMilli(steadyMillis),
@@ -34,42 +36,42 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("checks")
-  void provesTheStateForWhileFromTheQuestion(
+  void isValidForLimitedTimeFromRequest(
       String name, long passedMillis, long stepMillis, boolean valid) {
     StateLease lease = new StateLease(VALIDITY);
-    lease.proved(lease.ask(at(100, 0)));
+    lease.confirm(lease.startRequest(at(100, 0)));
     assertThat(lease.isValid(at(100 + passedMillis, stepMillis)), is(valid));
   }
 
   @Test
-  void isOverUntilTheFirstAnswer() {
+  void isExpiredUntilFirstReply() {
     StateLease lease = new StateLease(VALIDITY);
     assertThat(lease.isValid(at(0, 0)), is(false));
-    lease.ask(at(0, 0));
-    lease.proved(0);
-    lease.proved(99);
+    lease.startRequest(at(0, 0));
+    lease.confirm(0);
+    lease.confirm(99);
     assertThat(lease.isValid(at(0, 0)), is(false));
   }
 
   @Test
-  void answerHeldUpOnTheWayProvesWhatWasAskedForThen() {
+  void delayedReplyConfirmsFromItsRequest() {
     StateLease lease = new StateLease(VALIDITY);
-    long early = lease.ask(at(0, 0));
-    long late = lease.ask(at(2_000, 0));
-    lease.proved(late);
-    lease.proved(early);
+    long early = lease.startRequest(at(0, 0));
+    long late = lease.startRequest(at(2_000, 0));
+    lease.confirm(late);
+    lease.confirm(early);
     assertThat(lease.isValid(at(4_900, 0)), is(true));
-    lease.proved(early);
+    lease.confirm(early);
     assertThat(lease.isValid(at(5_000, 0)), is(false));
   }
 
   @Test
-  void answerToQuestionFromBeforeSuspensionProvesNothing() {
+  void replyToRequestFromBeforeSuspensionConfirmsNothing() {
     StateLease lease = new StateLease(VALIDITY);
-    long before = lease.ask(at(0, 0));
-    lease.proved(before);
+    long before = lease.startRequest(at(0, 0));
+    lease.confirm(before);
     assertThat(lease.isValid(at(10, 5_000)), is(false));
-    lease.proved(lease.ask(at(20, 5_000)));
+    lease.confirm(lease.startRequest(at(20, 5_000)));
     assertThat(lease.isValid(at(30, 5_000)), is(true));
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/UnreachableEntriesTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/UnreachableEntriesTest.java
@@ -24,14 +24,15 @@
     "a, 2000, 'a b c'",
     "'a b c', 100, 'a b c'"
   })
-  void avoidsWhoFailedLatelyUnlessAllDid(String failed, long laterMillis, String expected) {
+  void avoidsRecentlyFailedEntriesUnlessAllFailed(
+      String failed, long laterMillis, String expected) {
     UnreachableEntries unreachable = new UnreachableEntries();
     for (String name : failed.split(" ")) {
-      unreachable.failed(entry(name), START);
+      unreachable.recordFailure(entry(name), START);
     }
     List<String> preferred =
         unreachable
-            .prefer(
+            .preferReachable(
                 Stream.of("a", "b", "c").map(UnreachableEntriesTest::entry).toList(),
                 START.plusMillis(laterMillis))
             .stream()
@@ -48,13 +49,13 @@
     "'a b c', 0, true",
     "'a b c', 2000, false"
   })
-  void saysWhetherAllFailed(String failed, long laterMillis, boolean expected) {
+  void detectsThatAllFailed(String failed, long laterMillis, boolean expected) {
     UnreachableEntries unreachable = new UnreachableEntries();
     for (String name : failed.split(" ")) {
-      unreachable.failed(entry(name), START);
+      unreachable.recordFailure(entry(name), START);
     }
     boolean all =
-        unreachable.allFailed(
+        unreachable.allUnreachable(
             Stream.of("a", "b", "c").map(UnreachableEntriesTest::entry).toList(),
             START.plusMillis(laterMillis));
     assertThat(all, equalTo(expected));
