--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/UpdateBufferTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/UpdateBufferTest.java
@@ -27,70 +27,83 @@
         from, whole, List.of(new EndpointLoad("e1", running, List.of(), Optional.empty())));
   }
 
-  private static News work(LoadReport report) {
+  private static News loadUpdate(LoadReport report) {
     return new News(List.of(report), List.of(), List.of());
   }
 
-  private static News prefix(String endpoint, String part) {
+  private static News prefixUpdate(String endpoint, String part) {
     PrefixRead read = new PrefixRead(endpoint, List.of(new ReadPart(part, 500)));
     return new News(List.of(), List.of(read), List.of());
   }
 
-  private static News load(String region) {
+  private static News regionLoadUpdate(String region) {
     return new News(List.of(), List.of(), List.of(new RegionLoad(region, List.of())));
   }
 
   static Stream<Arguments> digestTimes() {
     return Stream.of(
-        Arguments.of("updates wait for the digest interval", work(report("a", true, 1)), false, 119, 120),
-        Arguments.of("urgent updates wait for the urgent interval", work(report("a", false, 1)), true, 39, 40),
+        Arguments.of(
+            "updates wait for the digest interval",
+            loadUpdate(report("a", true, 1)),
+            false,
+            119,
+            120),
+        Arguments.of(
+            "urgent updates wait for the urgent interval",
+            loadUpdate(report("a", false, 1)),
+            true,
+            39,
+            40),
         Arguments.of("an empty digest is sent as a heartbeat", News.NONE, false, 479, 480));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("digestTimes")
-  void digestsAreDue(String name, News news, boolean urgent, long notYetMillis, long dueMillis) {
+  void sendsDigestsWhenDue(
+      String name, News updates, boolean urgent, long notYetMillis, long dueMillis) {
     UpdateBuffer buffer = new UpdateBuffer();
-    buffer.take(START);
-    buffer.add(news, urgent);
-    assertThat(buffer.take(START.plusMillis(notYetMillis)), is(Optional.empty()));
-    assertThat(buffer.take(START.plusMillis(dueMillis)), is(Optional.of(news)));
-    assertThat(buffer.take(START.plusMillis(dueMillis + 120)), is(Optional.empty()));
+    buffer.drainIfDue(START);
+    buffer.add(updates, urgent);
+    assertThat(buffer.drainIfDue(START.plusMillis(notYetMillis)), is(Optional.empty()));
+    assertThat(buffer.drainIfDue(START.plusMillis(dueMillis)), is(Optional.of(updates)));
+    assertThat(buffer.drainIfDue(START.plusMillis(dueMillis + 120)), is(Optional.empty()));
   }
 
   @Test
-  void laterWordReplacesEarlier() {
+  void laterReportReplacesEarlierOnes() {
     UpdateBuffer buffer = new UpdateBuffer();
-    buffer.add(work(report("a", true, 1)), false);
-    buffer.add(work(report("b", true, 2)), false);
-    buffer.add(work(report("a", true, 3)), false);
-    buffer.add(work(report("a", false, 4)), false);
-    buffer.add(load("south"), false);
-    buffer.add(load("south"), false);
-    News news = buffer.take(START).orElseThrow();
+    buffer.add(loadUpdate(report("a", true, 1)), false);
+    buffer.add(loadUpdate(report("b", true, 2)), false);
+    buffer.add(loadUpdate(report("a", true, 3)), false);
+    buffer.add(loadUpdate(report("a", false, 4)), false);
+    buffer.add(regionLoadUpdate("south"), false);
+    buffer.add(regionLoadUpdate("south"), false);
+    News updates = buffer.drainIfDue(START).orElseThrow();
     assertThat(
-        news.loads(), contains(report("b", true, 2), report("a", true, 3), report("a", false, 4)));
-    assertThat(news.regionLoads().size(), is(1));
+        updates.loads(),
+        contains(report("b", true, 2), report("a", true, 3), report("a", false, 4)));
+    assertThat(updates.regionLoads().size(), is(1));
   }
 
   @Test
-  void otherRegionsHearOfPrefixOnce() {
+  void sendsPrefixToOtherRegionsOncePerInterval() {
     RemoteUpdateBuffer buffer = new RemoteUpdateBuffer();
-    buffer.add(prefix("e1", "p"), START);
-    buffer.add(prefix("e2", "p"), START);
-    buffer.add(prefix("e2", "q"), START);
-    buffer.add(work(report("a", true, 1)), START);
-    News first = buffer.take(START).orElseThrow();
+    buffer.add(prefixUpdate("e1", "p"), START);
+    buffer.add(prefixUpdate("e2", "p"), START);
+    buffer.add(prefixUpdate("e2", "q"), START);
+    buffer.add(loadUpdate(report("a", true, 1)), START);
+    News first = buffer.drainIfDue(START).orElseThrow();
     assertThat(
         first.prefixes(),
-        contains(prefix("e1", "p").prefixes().get(0), prefix("e2", "q").prefixes().get(0)));
+        contains(
+            prefixUpdate("e1", "p").prefixes().get(0), prefixUpdate("e2", "q").prefixes().get(0)));
     assertThat(first.loads(), is(List.of()));
-    buffer.add(prefix("e3", "p"), START.plusMillis(4_000));
-    assertThat(buffer.take(START.plusMillis(4_500)), is(Optional.empty()));
-    buffer.add(load("north"), START.plusMillis(5_200));
-    buffer.take(START.plusMillis(5_200));
-    buffer.add(prefix("e3", "p"), START.plusMillis(5_300));
-    assertThat(buffer.take(START.plusMillis(5_399)), is(Optional.empty()));
-    assertThat(buffer.take(START.plusMillis(5_400)).orElseThrow().prefixes().size(), is(1));
+    buffer.add(prefixUpdate("e3", "p"), START.plusMillis(4_000));
+    assertThat(buffer.drainIfDue(START.plusMillis(4_500)), is(Optional.empty()));
+    buffer.add(regionLoadUpdate("north"), START.plusMillis(5_200));
+    buffer.drainIfDue(START.plusMillis(5_200));
+    buffer.add(prefixUpdate("e3", "p"), START.plusMillis(5_300));
+    assertThat(buffer.drainIfDue(START.plusMillis(5_399)), is(Optional.empty()));
+    assertThat(buffer.drainIfDue(START.plusMillis(5_400)).orElseThrow().prefixes().size(), is(1));
   }
 }
