--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/AggregatedUpdateChannel.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/AggregatedUpdateChannel.java
@@ -40,9 +40,9 @@
   private record ReportedLoad(
       String endpoint,
       int running,
-      int unreadPrompts,
-      long unreadTokens,
-      Optional<OptionalDouble> rate) {
+      int pendingPrompts,
+      long pendingTokens,
+      Optional<OptionalDouble> rateLimit) {
     private static ReportedLoad of(FleetMessage.EndpointLoad load) {
       long tokens =
           load.pendingPrompts().stream().mapToLong(FleetMessage.UnreadPrompt::tokens).sum();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
@@ -45,7 +45,10 @@
   /** Time without a report after which an entry is not listed to callers. */
   private static final Duration ENTRY_TIMEOUT = Duration.ofMillis(1_700);
 
-  /** The same for an entry that follows other control instances and so reports less often. */
+  /**
+   * Time without a report after which an entry that follows other control instances, and so reports
+   * less often, is not listed to callers.
+   */
   private static final Duration NON_FOLLOWING_ENTRY_TIMEOUT = Duration.ofSeconds(5);
 
   /**
@@ -92,13 +95,13 @@
   private static final class TrackedEntry {
     private EntryInfo info;
     private boolean ready;
-    private boolean wantsLists;
+    private boolean wantsUpdates;
     private Instant reportingSince;
     private Instant lastReportAt;
     private Instant completeRosterSentAt = Instant.EPOCH;
 
     private boolean isLive(Instant now) {
-      Duration timeout = wantsLists ? ENTRY_TIMEOUT : NON_FOLLOWING_ENTRY_TIMEOUT;
+      Duration timeout = wantsUpdates ? ENTRY_TIMEOUT : NON_FOLLOWING_ENTRY_TIMEOUT;
       return lastReportAt.plus(timeout).isAfter(now);
     }
 
@@ -108,7 +111,7 @@
       }
       info = report.entry();
       ready = report.ready();
-      wantsLists = report.wantsUpdates();
+      wantsUpdates = report.wantsUpdates();
       lastReportAt = now;
     }
   }
@@ -150,7 +153,7 @@
             transport,
             clock,
             this::otherControls,
-            () -> entryPeers(e -> e.wantsLists),
+            () -> entryPeers(e -> e.wantsUpdates),
             new SuspicionStore(settings.dataDir().orElseThrow(), InstantSource.system()));
     boolean foundingMember = settings.firstStart() && seeds.contains(settings.peerAddress());
     this.control = openControl(foundingMember ? Set.copyOf(seeds) : Set.of());
@@ -171,8 +174,8 @@
 
   /**
    * Schedules attempts to reopen the data folder after it failed. Until one succeeds, this instance
-   * runs without its control group; then it holds only the state that the disk holds. A full or
-   * faulty disk thus disables one member of the group temporarily, but not its directory and
+   * runs without its control group; afterwards it holds only the state that is on its disk. A full
+   * or faulty disk thus disables one member of the group temporarily, but not its directory and
    * roster.
    */
   private void scheduleReopen() {
@@ -419,7 +422,7 @@
     return startedAt.plus(settings.endpointHeartbeat().multipliedBy(2)).isBefore(now);
   }
 
-  private FleetMessage.ControlPulse controlPulse(long questionId) {
+  private FleetMessage.ControlPulse controlPulse(long reportId) {
     return new FleetMessage.ControlPulse(
         settings.peerAddress(),
         settings.region(),
@@ -428,7 +431,7 @@
         control.view().routing().revision(),
         suspicions.quarantineDigest(),
         knownControls(),
-        questionId);
+        reportId);
   }
 
   private List<String> knownControls() {
@@ -505,7 +508,7 @@
    * when it receives them.
    */
   private void pushToFollowers(List<EndpointRecord> records) {
-    transport.sendAll(entryPeers(e -> e.wantsLists), rosterUpdate(records));
+    transport.sendAll(entryPeers(e -> e.wantsUpdates), rosterUpdate(records));
   }
 
   private FleetMessage rosterUpdate(List<EndpointRecord> records) {
@@ -534,7 +537,7 @@
         state.version(),
         "evacuated",
         state.evacuatedDomains());
-    transport.sendAll(entryPeers(e -> e.wantsLists), controlPulse(0));
+    transport.sendAll(entryPeers(e -> e.wantsUpdates), controlPulse(0));
   }
 
   private void sendState(String peer) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
@@ -482,11 +482,11 @@
     return settings.bounds().revocationDelay().isEmpty() || lease.isValid(clocks());
   }
 
-  private FleetMessage entryReport(boolean wantsLists, long reportId) {
+  private FleetMessage entryReport(boolean wantsUpdates, long reportId) {
     return new FleetMessage.EntryReport(
         self,
         ready(),
-        wantsLists,
+        wantsUpdates,
         routing.revision(),
         endpoints.digest(),
         entriesDigest(entries),
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LoadExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LoadExchange.java
@@ -115,8 +115,8 @@
   }
 
   /**
-   * Records that a request was sent to an endpoint. A prompt whose prefill keeps the endpoint busy
-   * for longer than the report interval would hide is reported immediately.
+   * Records that a request was sent to an endpoint. A long prompt is reported immediately, since
+   * its prefill keeps the endpoint busy for a considerable part of the report interval.
    */
   void requestSent(EndpointTracker tracker, long uncachedTokens) {
     if (uncachedTokens >= LONG_PROMPT_TOKENS) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/UpdateAggregator.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/UpdateAggregator.java
@@ -21,7 +21,7 @@
  * <p>Confined to the event loop thread.
  */
 final class UpdateAggregator {
-  /** Interval at which due digests are checked for. */
+  /** Interval at which the buffers are checked for messages that are due. */
   private static final long TICK_INTERVAL_MILLIS = 40;
 
   /** Time without updates from a region's entries after which they receive no more digests. */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/ControlInstanceTracker.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/ControlInstanceTracker.java
@@ -53,7 +53,7 @@
 
   /** Returns whether no control instance has replied within a time span. */
   public boolean noReplyWithin(Duration span, Instant now) {
-    return lastReplies.values().stream().noneMatch(c -> c.receivedAt.plus(span).isAfter(now));
+    return lastReplies.values().stream().noneMatch(r -> r.receivedAt.plus(span).isAfter(now));
   }
 
   /**
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointRoster.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointRoster.java
@@ -99,7 +99,7 @@
   private boolean hasLaterIncarnationAt(EndpointRecord record) {
     return record.startedAtMillis() > 0
         && byId.values().stream()
-            .map(k -> k.record)
+            .map(t -> t.record)
             .filter(other -> other.address().equals(record.address()))
             .filter(other -> other.state() == EndpointState.READY)
             .anyMatch(other -> other.startedAfter(record));
@@ -147,10 +147,13 @@
     return changed ? Optional.of(record) : Optional.empty();
   }
 
-  /** Marks the endpoints whose lease has expired as lost and returns their records. */
+  /**
+   * Marks the endpoints whose lease has expired as lost and returns their records. Also removes the
+   * endpoints that have not announced themselves for the tombstone retention time.
+   */
   public List<EndpointRecord> expire(Instant now, Duration lease) {
     List<EndpointRecord> lost = new ArrayList<>();
-    byId.values().removeIf(k -> k.lastAnnouncedAt.plus(TOMBSTONE_RETENTION).isBefore(now));
+    byId.values().removeIf(t -> t.lastAnnouncedAt.plus(TOMBSTONE_RETENTION).isBefore(now));
     for (TrackedEndpoint tracked : byId.values()) {
       boolean leased =
           tracked.record.state() == EndpointState.READY
@@ -175,9 +178,9 @@
   public List<String> removeExpiredTombstones(Instant now) {
     List<String> gone =
         byId.values().stream()
-            .filter(k -> k.record.state() == EndpointState.GONE)
-            .filter(k -> k.lastAnnouncedAt.plus(TOMBSTONE_RETENTION).isBefore(now))
-            .map(k -> k.record.id())
+            .filter(t -> t.record.state() == EndpointState.GONE)
+            .filter(t -> t.lastAnnouncedAt.plus(TOMBSTONE_RETENTION).isBefore(now))
+            .map(t -> t.record.id())
             .toList();
     gone.forEach(this::remove);
     return gone;
@@ -188,12 +191,12 @@
    * evidence that an endpoint is lost.
    */
   public void renewAllLeases(Instant now) {
-    byId.values().forEach(k -> k.lastAnnouncedAt = now);
+    byId.values().forEach(t -> t.lastAnnouncedAt = now);
   }
 
   /** Returns the record of an endpoint. */
   public Optional<EndpointRecord> find(String id) {
-    return Optional.ofNullable(byId.get(id)).map(k -> k.record);
+    return Optional.ofNullable(byId.get(id)).map(t -> t.record);
   }
 
   /** Returns the number of recorded endpoints, including those that deregistered recently. */
@@ -203,7 +206,7 @@
 
   /** Returns every record, with the cold time remaining at the given instant, ordered by id. */
   public Collection<EndpointRecord> records(Instant now) {
-    return byId.values().stream().map(k -> k.recordAt(now)).toList();
+    return byId.values().stream().map(t -> t.recordAt(now)).toList();
   }
 
   /**
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/RelayPartners.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/RelayPartners.java
@@ -11,7 +11,10 @@
  * use all of them evenly.
  */
 public final class RelayPartners {
-  /** Tolerates the loss of two partners, and is low enough to keep a connection open to each. */
+  /**
+   * Maximum number of partners: tolerates the loss of two, and is low enough to keep a connection
+   * open to each.
+   */
   private static final int MAX_PARTNERS = 3;
 
   private RelayPartners() {}
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/ControlInstanceTrackerTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/ControlInstanceTrackerTest.java
@@ -46,11 +46,11 @@
 
   private static ControlInstanceTracker trackerAfter(List<Reply> replies) {
     ControlInstanceTracker tracker = new ControlInstanceTracker("north");
-    for (Reply a : replies) {
+    for (Reply r : replies) {
       FleetMessage.ControlPulse pulse =
           new FleetMessage.ControlPulse(
-              a.from(), a.region(), a.inMajority(), true, 1, 0, List.of(), 0);
-      tracker.onControlPulse(pulse, NOW.minusMillis(a.agoMillis()));
+              r.from(), r.region(), r.inMajority(), true, 1, 0, List.of(), 0);
+      tracker.onControlPulse(pulse, NOW.minusMillis(r.agoMillis()));
     }
     return tracker;
   }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/EndpointRestartTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/EndpointRestartTest.java
@@ -88,7 +88,7 @@
   @MethodSource("rows")
   void laterIncarnationWins(Row row) {
     EndpointRoster roster = new EndpointRoster();
-    row.announcements().forEach(w -> roster.applyAnnouncement(w.record(), START));
+    row.announcements().forEach(a -> roster.applyAnnouncement(a.record(), START));
     EndpointRecord known = roster.find("a").orElseThrow();
     assertThat(known.startedAtMillis(), equalTo(row.startedAtMillis()));
     assertThat(known.state(), equalTo(row.state()));
@@ -129,7 +129,7 @@
     List<Announcement> order = new ArrayList<>(announcements);
     Collections.shuffle(order, random);
     EndpointRoster roster = new EndpointRoster();
-    order.forEach(w -> roster.applyAnnouncement(w.record(), START));
+    order.forEach(a -> roster.applyAnnouncement(a.record(), START));
     return roster;
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/EndpointRosterTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/EndpointRosterTest.java
@@ -117,11 +117,11 @@
   }
 
   @Test
-  void coldTimeElapsesAndCoolingAgainIsChange() {
+  void coldTimeElapsesAndBecomingColdAgainIsChange() {
     EndpointRoster roster = new EndpointRoster();
     roster.applyAnnouncement(record("old", READY, 1, 3_000), START);
-    long left = roster.records(START.plusMillis(1_000)).iterator().next().coldMillis();
-    assertThat(left, equalTo(2_000L));
+    long remainingMillis = roster.records(START.plusMillis(1_000)).iterator().next().coldMillis();
+    assertThat(remainingMillis, equalTo(2_000L));
     Instant warm = START.plusMillis(4_000);
     assertThat(
         roster.applyAnnouncement(record("old", READY, 2, 0), warm).isPresent(), equalTo(false));
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/UpdateBufferTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/UpdateBufferTest.java
@@ -22,9 +22,9 @@
 class UpdateBufferTest {
   private static final Instant START = Instant.EPOCH.plusSeconds(100);
 
-  private static LoadReport report(String from, boolean whole, int running) {
+  private static LoadReport report(String from, boolean complete, int running) {
     return new LoadReport(
-        from, whole, List.of(new EndpointLoad("e1", running, List.of(), Optional.empty())));
+        from, complete, List.of(new EndpointLoad("e1", running, List.of(), Optional.empty())));
   }
 
   private static News loadUpdate(LoadReport report) {
