--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
@@ -216,8 +216,8 @@
 
   /**
    * Applies suspicions from a control instance. A content that an endpoint has recently completed
-   * for this entry does not crash every endpoint that runs it, and the instances that suspect it
-   * cannot know this; such a content is reported as cleared.
+   * for this entry does not crash every endpoint that runs it, but the instances that suspect it
+   * have not received this completion; such a content is reported as cleared.
    */
   void onSuspicionUpdate(FleetMessage.SuspicionUpdate update) {
     Instant now = clock.instant();
