--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/DirectorySelectorTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/DirectorySelectorTest.java
@@ -52,7 +52,7 @@
             9,
             List.of("south-0", "east-1")),
         new Row("at most the limit", List.of("north", "north"), any, 1, List.of("north-0")),
-        new Row("no entry", List.of(), any, 9, List.of()));
+        new Row("nobody", List.of(), any, 9, List.of()));
   }
 
   @ParameterizedTest
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/StateLeaseTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/StateLeaseTest.java
@@ -26,7 +26,7 @@
 
   static Stream<Arguments> checks() {
     return Stream.of(
-        Arguments.of("immediately", 0, 0, true),
+        Arguments.of("immediately after the request", 0, 0, true),
         Arguments.of("just before it expires", 2_999, 0, true),
         Arguments.of("when it expires", 3_000, 0, false),
         Arguments.of("small clock drift", 1_000, 100, true),
