--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
@@ -31,8 +31,8 @@
 
 /**
  * An entry of a fleet with the state that it has received: the routing state, the endpoints with
- * their load, the other entries and the control instances. It reports to every control instance it
- * knows, applies their updates, and continues with its current state while none is reachable.
+ * their load, the other entries and the control instances. It reports to every known control
+ * instance, applies their updates, and continues with its current state while none is reachable.
  *
  * <p>All state is confined to the event loop thread.
  */
@@ -224,7 +224,7 @@
 
   /**
    * Returns whether this entry has just started and may not have received all endpoints yet, so
-   * that a request for which it knows none is worth a short wait.
+   * that a request for which no endpoint is recorded is worth a short wait.
    */
   public boolean discoveringEndpoints() {
     return startedAt.plus(settings.endpointHeartbeat().multipliedBy(3)).isAfter(clock.instant());
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/ControlInstanceTracker.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/ControlInstanceTracker.java
@@ -59,7 +59,7 @@
   /**
    * Returns the control instances that the entry follows.
    *
-   * @param known all control instances that the entry knows
+   * @param known all control instances known to the entry
    */
   public Set<String> followed(Collection<String> known, Instant now) {
     Set<String> sameRegion = new TreeSet<>();
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointRoster.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointRoster.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 
 /**
- * The endpoints that an instance knows, merged from their own announcements and from the records
+ * The endpoints recorded by an instance, merged from their own announcements and from the records
  * that other instances forward. The newest announcement of an incarnation wins regardless of the
  * path by which it arrived; {@link EndpointState#GONE} is final.
  *
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetMessage.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetMessage.java
@@ -23,8 +23,8 @@
    *     often
    * @param revision the revision of its routing state
    * @param rosterDigest the digest of its roster
-   * @param entriesDigest the digest of the entries it knows
-   * @param quarantineDigest the digest of the quarantined request contents it knows
+   * @param entriesDigest the digest of its list of entries
+   * @param quarantineDigest the digest of its quarantined request contents
    * @param reportId the id that the reply repeats
    */
   record EntryReport(
@@ -47,8 +47,8 @@
    * @param discoveryComplete whether it has run long enough to know all endpoints that announce
    *     themselves
    * @param revision the revision of its committed routing state
-   * @param quarantineDigest the digest of the quarantined request contents it knows
-   * @param controls the control instances it knows
+   * @param quarantineDigest the digest of its quarantined request contents
+   * @param controls the known control instances, itself included
    * @param reportId the id of the report that this replies to; 0 if it replies to none
    */
   record ControlPulse(
@@ -67,9 +67,9 @@
    * group.
    *
    * @param from the control instance
-   * @param recurringDigest the digest of the request contents it knows that have crashed several
+   * @param recurringDigest the digest of its recorded request contents that have crashed several
    *     endpoints
-   * @param controls the control instances it knows
+   * @param controls the known control instances, itself included
    */
   record ControlHello(String from, int recurringDigest, List<String> controls)
       implements FleetMessage {}
@@ -80,7 +80,7 @@
    *
    * @param from the sender
    * @param callId identifies the update in a {@link RosterAck}; 0 if none is requested
-   * @param complete whether the records are all endpoints that the sender knows
+   * @param complete whether the records are the whole roster of the sender
    * @param records the records
    */
   record RosterUpdate(String from, long callId, boolean complete, List<EndpointRecord> records)
