--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/CrashProbe.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/CrashProbe.java
@@ -10,24 +10,27 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Finds out whether an endpoint that closed a connection under a request has ended. Connections
- * close for many reasons; only a port at which nobody listens refuses new ones. A reset on the way
- * can make one attempt look refused, so it takes two in a row.
+ * Checks whether an endpoint that closed a connection during a request has crashed. Connections are
+ * closed for many reasons, but only a port without a listener refuses new ones. A TCP reset caused
+ * on the network path can make one attempt look refused, so two consecutive refusals are required.
  *
  * <p>Thread-safe.
  */
 public final class CrashProbe {
-  /** Time before each attempt: an endpoint that ends closes its port at about the same time. */
-  private static final long PAUSE_MILLIS = 30;
+  /**
+   * Delay before each attempt: a crashing endpoint closes its connections and its port at about the
+   * same time.
+   */
+  private static final long ATTEMPT_DELAY_MILLIS = 30;
 
   private static final int CONNECT_TIMEOUT_MILLIS = 300;
   private static final int ATTEMPTS = 2;
 
   private final Vertx vertx;
   private final NetClient client;
-  private final Map<SocketAddress, Future<Boolean>> running = new ConcurrentHashMap<>();
+  private final Map<SocketAddress, Future<Boolean>> inProgress = new ConcurrentHashMap<>();
 
-  /** Creates it; nothing is probed yet. */
+  /** Creates a probe with no checks in progress. */
   public CrashProbe(Vertx vertx) {
     this.vertx = vertx;
     this.client =
@@ -35,24 +38,24 @@
   }
 
   /**
-   * Asks once for all requests that broke off at the same time.
+   * Checks an endpoint, once for all requests whose connections were closed at the same time.
    *
-   * @return whether new connections are refused; false as well if that cannot be told
+   * @return whether it refuses new connections; false if that cannot be determined
    */
   public Future<Boolean> hasCrashed(SocketAddress address) {
-    return running.computeIfAbsent(
+    return inProgress.computeIfAbsent(
         address,
         a -> {
-          Future<Boolean> verdict = refuses(a, ATTEMPTS);
-          verdict.onComplete(done -> running.remove(a));
-          return verdict;
+          Future<Boolean> result = refusesConnections(a, ATTEMPTS);
+          result.onComplete(done -> inProgress.remove(a));
+          return result;
         });
   }
 
-  private Future<Boolean> refuses(SocketAddress address, int attempts) {
+  private Future<Boolean> refusesConnections(SocketAddress address, int attempts) {
     return vertx
-        .timer(PAUSE_MILLIS)
-        .compose(paused -> client.connect(address))
+        .timer(ATTEMPT_DELAY_MILLIS)
+        .compose(delayed -> client.connect(address))
         .compose(
             socket -> socket.close().map(false),
             e ->
@@ -60,10 +63,10 @@
                     ? Future.succeededFuture(false)
                     : attempts == 1
                         ? Future.succeededFuture(true)
-                        : refuses(address, attempts - 1));
+                        : refusesConnections(address, attempts - 1));
   }
 
-  /** Time-outs have the same type as refusals. */
+  /** Returns whether a connection was refused; timeouts have the same exception type. */
   private static boolean isRefusal(Throwable e) {
     return e instanceof ConnectException && String.valueOf(e.getMessage()).contains("refused");
   }
