--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/ConfigDocument.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/ConfigDocument.java
@@ -8,11 +8,12 @@
 import java.util.Optional;
 
 /**
- * The source of one configuration version, immutable: the YAML as an operator sent it, or the
- * result of {@link ConfigPatch}es, of which the YAML is written only when somebody reads it.
+ * The source of one configuration version: the YAML as an operator sent it, or the result of applying {@link ConfigPatch}es, for which the YAML is generated only on first use. Immutable.
  */
 public final class ConfigDocument {
-  /** No selectors and no organisations. */
+  /**
+   * A document without selectors and organisations.
+   */
   public static final ConfigDocument EMPTY = new ConfigDocument("");
 
   static final String SELECTORS = "selectors";
@@ -23,7 +24,9 @@
 
   private record Parts(Map<String, JsonNode> selectors, Map<String, JsonNode> organisations) {}
 
-  /** Creates a document from its YAML, which is read when it is first patched. */
+  /**
+   * Creates a document from its YAML, which is parsed when a patch is first applied to it.
+   */
   public ConfigDocument(String text) {
     this.text = Optional.of(text);
     this.parts = Optional.empty();
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/ConfigLearning.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/ConfigLearning.java
@@ -6,14 +6,9 @@
 import java.util.Optional;
 
 /**
- * How an entry daemon, which has no disk, learns the configuration from its peers without ever
- * stepping back.
+ * Receives the configuration of an entry daemon, which has no disk, from its peers, and never activates an older version than this daemon had active before.
  *
- * <p>Once it serves, newer versions are put in force at once. After a start, though, the first
- * offer may come from a peer that lags behind the version this instance had in force before, so
- * offers are held back until peers have been heard for a settling time and the best offer is no
- * older than any version they reported. A peer may report a version and vanish, so the wait is
- * bounded.
+ * <p>Once a version is active, newer versions are activated immediately. After a start, the first offer may come from a peer that lags behind the version that this instance had active before the restart. Offers are therefore held back until reports have been received for a settling time and the best offer is no older than any reported version. A peer may report a version and then become unreachable, so the wait is bounded.
  */
 public final class ConfigLearning {
   private static final int MAX_SETTLING_TIMES = 5;
@@ -27,10 +22,10 @@
   private long highestReported;
 
   /**
-   * Creates the learner of one daemon.
+   * Creates the receiver of one daemon.
    *
-   * @param configs where versions are put in force
-   * @param settle how long to listen to peers after the first is heard
+   * @param configs the store in which versions are activated
+   * @param settlingTime the minimum time between the first report of a peer and the first activation
    */
   public ConfigLearning(ConfigStore configs, Duration settle) {
     this.configs = configs;
@@ -38,9 +33,9 @@
   }
 
   /**
-   * Notes the version that a peer reports to have in force.
+   * Records the active version that a peer reports.
    *
-   * @return whether it is newer than the best version offered, so that it should be asked for
+   * @return whether it is newer than the highest version offered or active, so that it should be requested
    */
   public synchronized boolean heard(long version, Instant now) {
     if (firstHeardAt.isEmpty()) {
@@ -50,7 +45,9 @@
     return version > highestOffered();
   }
 
-  /** Takes a version that a peer offers. */
+  /**
+   * Handles a version that a peer offers.
+   */
   public synchronized void offered(long version, String document, Instant now) {
     if (version > highestOffered()) {
       best = Optional.of(new Offer(version, document));
@@ -59,8 +56,7 @@
   }
 
   /**
-   * Takes patches that a peer offers; before this daemon has a version of its own they are of no
-   * use and ignored.
+   * Handles patches that a peer offers; they are ignored while this daemon has no active version to apply them to.
    */
   public synchronized void offeredPatches(long baseVersion, List<String> patches) {
     if (configs.current().version() > 0) {
@@ -68,12 +64,16 @@
     }
   }
 
-  /** Returns the newest version offered or in force. */
+  /**
+   * Returns the highest version offered or active.
+   */
   public synchronized long highestOffered() {
     return Math.max(configs.current().version(), best.map(Offer::version).orElse(0L));
   }
 
-  /** Lets time pass: puts the best offer in force once that is safe. */
+  /**
+   * Activates the best offer if a version is already active or the offers have settled.
+   */
   public synchronized void tick(Instant now) {
     if (best.isPresent() && (configs.current().version() > 0 || settled(now))) {
       configs.offer(best.get().version(), best.get().document());
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/ConfigParser.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/ConfigParser.java
@@ -25,7 +25,7 @@
 import org.yaml.snakeyaml.LoaderOptions;
 
 /**
- * Reads the operators' YAML document into a {@link GatewayConfig}.
+ * Parses the operators' YAML document into a {@link GatewayConfig}.
  *
  * <p>The document has the shape:
  *
@@ -41,8 +41,8 @@
  *   - {name: puhdas-seina, residency: [uusimaa, pirkanmaa], requestsPerSecond: 50}
  * </pre>
  *
- * <p>Unknown keys, unknown operators and duplicate names are refused with a {@link
- * GatewayException} of kind {@link ErrorKind#INVALID_CONFIGURATION} naming the key.
+ * <p>Unknown keys, unknown operators and duplicate names are rejected with a {@link
+ * GatewayException} of kind {@link ErrorKind#INVALID_CONFIGURATION} that names the key.
  */
 public final class ConfigParser {
   private static final ObjectMapper YAML =
@@ -61,7 +61,7 @@
   }
 
   /**
-   * Parses a document; the result carries version 0 until the control role assigns one.
+   * Parses a document; the result has version 0 until the control group assigns one.
    *
    * @param yaml the document text
    * @return the configuration
@@ -71,12 +71,16 @@
     return bind(() -> YAML.readValue(yaml, Document.class));
   }
 
-  /** Parses a document that was read as a tree. */
+  /**
+   * Converts a document tree to a configuration.
+   */
   static GatewayConfig parse(JsonNode tree) {
     return bind(() -> YAML.treeToValue(tree, Document.class));
   }
 
-  /** Reads a document as a tree, without checking its keys; an empty text is an empty tree. */
+  /**
+   * Parses a document to a tree without checking its keys; an empty text results in an empty tree.
+   */
   static JsonNode tree(String yaml) {
     try {
       return YAML.readTree(yaml);
@@ -93,7 +97,7 @@
     try {
       return YAML.writeValueAsString(tree);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("writing YAML into memory failed", e);
+      throw new IllegalStateException("cannot write the document as YAML", e);
     }
   }
 
@@ -204,7 +208,9 @@
     return list == null ? Set.of() : Set.copyOf(list);
   }
 
-  /** The document's top level, as Jackson binds it. */
+  /**
+   * The top level of the document, bound by Jackson.
+   */
   static final class Document {
     @JsonProperty public List<SelectorDoc> selectors;
     @JsonProperty public List<OrganisationDoc> organisations;
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/ConfigPatch.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/ConfigPatch.java
@@ -10,11 +10,11 @@
 import org.lacewingcroft.error.GatewayException;
 
 /**
- * An operator's change of single selectors and organisations, so that a change costs what it
- * changes and not what the whole configuration holds.
+ * An operator's change of individual selectors and organisations. Its cost depends on the size of
+ * the change, not on the size of the whole configuration.
  *
- * <p>The YAML has the shape of a whole document: its selectors and organisations are added, or
- * replace those of the same name. Under {@code remove} stand names to take out:
+ * <p>The YAML has the shape of a whole document; its selectors and organisations are added, or
+ * replace those of the same name. The names listed under {@code remove} are removed:
  *
  * <pre>
  * organisations:
@@ -77,7 +77,9 @@
     return names;
   }
 
-  /** Returns the YAML it was parsed from. */
+  /**
+   * Returns the YAML that the patch was parsed from.
+   */
   public String text() {
     return text;
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/ConfigStore.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/ConfigStore.java
@@ -9,28 +9,32 @@
 import org.lacewingcroft.error.GatewayException;
 
 /**
- * The configuration in force on one daemon: versions are applied in increasing order only, and a
- * version older than or equal to the one in force is refused, so the configuration never reverts.
+ * Holds the active configuration of one daemon. Versions are applied in increasing order only: a version that is not newer than the active one is rejected, so the configuration never reverts.
  *
- * <p>Readers on the request path call {@link #current()}, a single volatile read of an immutable
- * snapshot (read-copy-update).
+ * <p>Readers on the request path call {@link #current()}, a single volatile read of an immutable snapshot (read-copy-update).
  */
 public final class ConfigStore {
-  /** What an offer of a version did. */
+  /**
+   * The outcome of an offered version.
+   */
   public enum Outcome {
-    /** The version was newer and is now in force. */
+    /**
+     * The version was newer and is now active.
+     */
     APPLIED,
-    /** The version was not newer than the one in force; nothing changed. */
+    /**
+     * The version was not newer than the active one; nothing changed.
+     */
     STALE,
     /** The document did not parse; nothing changed. */
     INVALID
   }
 
   /**
-   * A version in force with its source document.
+   * An active version with its source document.
    *
-   * @param config the parsed configuration, carrying the version
-   * @param source the document it came from
+   * @param config the parsed configuration with its version
+   * @param source the document that it was parsed from
    */
   public record Applied(GatewayConfig config, ConfigDocument source) {
     /** Returns the version. */
@@ -44,7 +48,9 @@
     }
   }
 
-  /** How many patches are kept for daemons that lag behind. */
+  /**
+   * Maximum number of patches retained for daemons that lag behind.
+   */
   public static final int PATCHES_KEPT = 512;
 
   private static final System.Logger LOG = System.getLogger(ConfigStore.class.getName());
@@ -54,27 +60,33 @@
   private volatile LongConsumer applied = version -> {};
   private final AtomicLong staleOffers = new AtomicLong();
 
-  /** Sets who is told of each version once it is in force; set before the first offer. */
+  /**
+   * Sets the listener that is called with each version once it is active; must be called before the first offer.
+   */
   public void onApplied(LongConsumer listener) {
     this.applied = listener;
   }
 
-  /** Returns the version in force; version 0 means none was learned yet. */
+  /**
+   * Returns the active version; version 0 means that none has been received yet.
+   */
   public Applied current() {
     return current.get();
   }
 
-  /** Returns how many offers of an older or equal version were refused. */
+  /**
+   * Returns the number of offers rejected because their version was not newer than the active one.
+   */
   public long staleOffers() {
     return staleOffers.get();
   }
 
   /**
-   * Offers a version learned from the control role or a peer.
+   * Activates a version received from the control group or a peer, if it is newer than the active one.
    *
-   * @param version the version, a log index assigned by the control role
+   * @param version the version, assigned by the control group's log
    * @param document the YAML document
-   * @return what happened
+   * @return the outcome
    */
   public Outcome offer(long version, String document) {
     if (version <= current.get().version()) {
@@ -91,11 +103,11 @@
   }
 
   /**
-   * Offers the patches that lead from one version to the next ones.
+   * Applies the patches from one version to the versions that follow it.
    *
-   * @param baseVersion the version the first patch applies to
-   * @param patches one patch a version
-   * @return what happened; stale too if the version in force is older than the base
+   * @param baseVersion the version to which the first patch applies
+   * @param patches one patch per version, in order
+   * @return the outcome; {@link Outcome#STALE} also if the active version is older than the base
    */
   public Outcome offerPatches(long baseVersion, List<ConfigPatch> patches) {
     Outcome outcome = Outcome.STALE;
@@ -130,9 +142,9 @@
   }
 
   /**
-   * Returns the patches that lead from an older version to the one in force.
+   * Returns the patches from an older version to the active one.
    *
-   * @return one patch a version in order, or empty if the whole document must be sent instead
+   * @return one patch per version in order, or empty if the whole document must be sent instead
    */
   public Optional<List<String>> patchesSince(long version) {
     synchronized (recentPatches) {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/WorkMatch.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/WorkMatch.java
@@ -3,18 +3,22 @@
 import java.util.Set;
 
 /**
- * Which work a {@link RoutingRule} covers. An empty set matches any value.
+ * Specifies the requests that a {@link RoutingRule} covers. An empty set matches any value.
  *
  * @param organisations organisation (tenant) names
- * @param models model names as callers send them
+ * @param models model names as sent by callers
  * @param priorities request priorities such as {@code normal} or {@code high}
  */
 public record WorkMatch(Set<String> organisations, Set<String> models, Set<String> priorities) {
 
-  /** Matches all work. */
+  /**
+   * Matches all requests.
+   */
   public static final WorkMatch ANY = new WorkMatch(Set.of(), Set.of(), Set.of());
 
-  /** Copies the sets so the match is immutable. */
+  /**
+   * Copies the sets so that the match is immutable.
+   */
   public WorkMatch {
     organisations = Set.copyOf(organisations);
     models = Set.copyOf(models);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ChangeResult.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ChangeResult.java
@@ -2,28 +2,30 @@
 
 import java.util.Optional;
 
-/** What became of an operator's configuration change. */
+/**
+ * The outcome of an operator's configuration change.
+ */
 public sealed interface ChangeResult {
 
   /**
-   * A quorum has the change on disk; it is in force at this version and never reverts.
+   * A quorum has the change on disk; it is active at this version and is never reverted.
    *
-   * @param version the version the change got
+   * @param version the version assigned to the change
    * @param duplicate true if this change id had been accepted before; nothing new was written
    */
   record Accepted(long version, boolean duplicate) implements ChangeResult {}
 
   /**
-   * The change was based on another version than the one in force; it is not accepted.
+   * The change was based on a version other than the latest one; it is rejected.
    *
    * @param currentVersion the version to rebase on
    */
   record Conflict(long currentVersion) implements ChangeResult {}
 
   /**
-   * This member does not lead; it has not taken the change.
+   * This member is not the leader; it has not appended the change.
    *
-   * @param leader the leader it knows, if any
+   * @param leader the leader that this member follows, if any
    */
   record NotLeader(Optional<String> leader) implements ChangeResult {}
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/Command.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/Command.java
@@ -4,18 +4,26 @@
 import org.lacewingcroft.config.ConfigDocument;
 import org.lacewingcroft.config.ConfigPatch;
 
-/** What a {@link LogEntry} does to the {@link ConfigState} once it is committed. */
+/**
+ * The operation of a {@link LogEntry}, applied to the {@link ConfigState} once the entry is committed.
+ */
 public sealed interface Command {
 
-  /** Does nothing; a new leader commits one so that earlier terms' entries commit with it. */
+  /**
+   * Has no effect; a new leader appends one so that the entries of earlier terms are committed with it.
+   */
   record Noop() implements Command {}
 
-  /** An operator's accepted change, which raises the configuration version by one. */
+  /**
+   * An operator's change of the configuration, which raises the configuration version by one.
+   */
   sealed interface Change extends Command {
     /** Returns the operator's client change id. */
     String changeId();
 
-    /** Returns the configuration after the change. */
+    /**
+     * Returns the given configuration with the change applied.
+     */
     ConfigDocument applyTo(ConfigDocument before);
   }
 
@@ -23,7 +31,7 @@
    * A change of the whole configuration.
    *
    * @param changeId the operator's client change id
-   * @param document the YAML document that replaces the one in force
+   * @param document the YAML document that replaces the active one
    */
   record ConfigChange(String changeId, String document) implements Change {
     @Override
@@ -33,7 +41,7 @@
   }
 
   /**
-   * A change of single selectors and organisations.
+   * A change of individual selectors and organisations.
    *
    * @param changeId the operator's client change id
    * @param patch the YAML of a {@link ConfigPatch}
@@ -46,8 +54,7 @@
   }
 
   /**
-   * Readmits a member whose data folder is new (its disk was lost or the instance replaced), so
-   * that it may vote again.
+   * Readmits a member whose data folder is new (its disk was lost or the instance was replaced), so that it may vote again.
    *
    * @param memberId the member
    * @param storageId the id of the member's new data folder
@@ -55,33 +62,32 @@
   record StorageRegistration(String memberId, String storageId) implements Command {}
 
   /**
-   * Puts a routing document in force if its version is higher than the one in force; otherwise it
-   * changes nothing.
+   * Activates a routing document if its version is higher than that of the active one; otherwise it has no effect.
    *
-   * @param version the operator's version
+   * @param version the version assigned by the operator
    * @param document the document's text
    */
   record RoutingChange(long version, String document) implements Command {}
 
   /**
-   * Begins or ends the evacuation of a failure domain.
+   * Starts or ends the evacuation of a failure domain.
    *
    * @param failureDomain the failure domain
-   * @param active whether its endpoints shall get no work
-   * @param basisRevision the revision known where the operator gave the order; the command has no
-   *     effect if the domain's evacuation was changed since
+   * @param active true if requests are no longer to be sent to the domain's endpoints
+   * @param baseRevision the {@link RoutingState#revision} at the instance where the operator gave the order; the command has no effect if the domain's evacuation has changed since
    */
   record EvacuationChange(String failureDomain, boolean active, long basisRevision)
       implements Command {}
 
   /**
-   * Replaces the members of the control group; in force at each member as soon as it holds the
-   * entry.
+   * Replaces the members of the control group; takes effect at each member as soon as the entry is in its log, committed or not.
    *
    * @param members the ids of all members after the change
    */
   record GroupChange(Set<String> members) implements Command {
-    /** Copies the set so the command is immutable. */
+    /**
+     * Copies the set so that the command is immutable.
+     */
     public GroupChange {
       members = Set.copyOf(members);
     }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConfigState.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConfigState.java
@@ -8,16 +8,14 @@
 import org.lacewingcroft.config.ConfigDocument;
 
 /**
- * What the committed log adds up to: the configuration in force, the client change ids that were
- * applied (so a resend is applied once) and the readmitted members' data folders. Immutable.
+ * The state that results from the committed log: the active configuration, the client change ids that were applied (so that a resent change is applied once), the data folders of readmitted members, the routing state and the members of the control group. Immutable.
  *
  * @param version the configuration version; 0 before the first change
  * @param document the document of that version; empty at version 0
- * @param versionByChangeId the version each of the last {@link #CHANGE_IDS_KEPT} change ids got,
- *     oldest first
+ * @param versionByChangeId the version assigned to each of the last {@link #MAX_CHANGE_IDS} change ids, oldest first
  * @param storageIdByMember the data folder last registered for each readmitted member
  * @param routing the routing document and evacuations
- * @param members the control group's members; empty where the settings name them
+ * @param members the members of the control group; empty if they are configured in the settings
  */
 public record ConfigState(
     long version,
@@ -27,14 +25,18 @@
     RoutingState routing,
     Set<String> members) {
 
-  /** How many change ids are remembered: over a day of the target's 5,200 changes. */
+  /**
+   * Maximum number of change ids retained: more than a day's changes at the target of 5,200 a day.
+   */
   public static final int CHANGE_IDS_KEPT = 8_192;
 
   /** The state before the first change. */
   public static final ConfigState EMPTY =
       new ConfigState(0, ConfigDocument.EMPTY, Map.of(), Map.of());
 
-  /** Creates a state without routing document, of a group that the settings name. */
+  /**
+   * Creates a state without a routing document, of a group whose members are configured in the settings.
+   */
   public ConfigState(
       long version,
       ConfigDocument document,
@@ -43,14 +45,18 @@
     this(version, document, versionByChangeId, storageIdByMember, RoutingState.EMPTY, Set.of());
   }
 
-  /** Copies the maps, keeping their order, so the state is immutable. */
+  /**
+   * Copies the maps and keeps the order of the change ids, so that the state is immutable.
+   */
   public ConfigState {
     versionByChangeId = Collections.unmodifiableMap(new LinkedHashMap<>(versionByChangeId));
     storageIdByMember = Map.copyOf(storageIdByMember);
     members = Set.copyOf(members);
   }
 
-  /** Returns the state after a committed entry. */
+  /**
+   * Returns the state after a committed entry is applied.
+   */
   public ConfigState apply(LogEntry entry) {
     if (entry.command() instanceof Command.Change change) {
       LinkedHashMap<String, Long> ids = new LinkedHashMap<>(versionByChangeId);
@@ -83,12 +89,16 @@
     return new ConfigState(version, document, versionByChangeId, storageIdByMember, next, members);
   }
 
-  /** Returns this state with other members of the control group. */
+  /**
+   * Returns this state with the given members of the control group.
+   */
   public ConfigState withMembers(Set<String> next) {
     return new ConfigState(version, document, versionByChangeId, storageIdByMember, routing, next);
   }
 
-  /** Returns the version that this change id got, if it was applied. */
+  /**
+   * Returns the version assigned to this change id, if the change was applied.
+   */
   public Optional<Long> versionOf(String changeId) {
     return Optional.ofNullable(versionByChangeId.get(changeId));
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusCodec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusCodec.java
@@ -13,8 +13,7 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * The MessagePack form of the log, the same on disk and between daemons: fields in record order, a
- * type tag before each sealed type.
+ * Encodes log entries, snapshots, hard states and consensus messages in MessagePack, in the same form on disk and between daemons: fields in record order, with a type tag before each sealed type.
  */
 public final class ConsensusCodec {
   private static final int NOOP = 0;
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusMember.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusMember.java
@@ -11,46 +11,59 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One member of the control group as a pure state machine: leader election by terms and replication
- * of the configuration log to a quorum, with no clock, thread or socket of its own. A driver feeds
- * it the time, the messages received and operators' proposals, and carries out the {@link Output}
- * of each step.
+ * One member of the control group, modelled on Raft as a pure state machine: leader election by terms and replication of the configuration log to a quorum, without a clock, thread or socket of its own. A driver passes in the time, the received messages and operators' proposals, and executes the {@link Output} of each step.
  *
- * <p>Beyond the textbook algorithm it has four guards. A pre-vote keeps a member that was cut off
- * from forcing an election when it returns. A leader that hears no quorum for an election timeout
- * steps down, so a leader that is cut off silently stops accepting. A member whose data folder is
- * new (a lost disk) neither votes nor counts towards a quorum until a quorum of the others has
- * committed its {@link Command.StorageRegistration}: it may have voted or acknowledged entries that
- * it no longer remembers. And an operator's change is compared with the version after the last
- * entry, committed or not, so that two changes racing with equal expected versions cannot both win.
+ * <p>It adds four safeguards to the basic algorithm:
  *
- * <p>Not thread-safe. Steps write to the {@link LogStorage} before they return messages, so
- * whatever a message acknowledges is on disk.
+ * <ul>
+ *   <li>A pre-vote prevents a member that was partitioned from the group from forcing an election when it reconnects.
+ *   <li>A leader that receives no responses from a quorum within the maximum election timeout steps down, so a partitioned leader stops accepting changes.
+ *   <li>A member whose data folder is new (a lost disk) neither votes nor counts towards a quorum until a quorum of the others has committed its {@link Command.StorageRegistration}: the lost disk may have held votes and acknowledged entries.
+ *   <li>An operator's expected version is compared with the version after the last entry, committed or not, so that of two concurrent changes with the same expected version at most one is accepted.
+ * </ul>
+ *
+ * <p>Not thread-safe. Each step writes to the {@link LogStorage} before it returns messages, so everything that a message acknowledges is on disk.
  */
 public final class ConsensusMember {
   private static final int ENTRIES_PER_MESSAGE = 64;
 
-  /** Silence after which a leader stops sending to an instance outside the group, in ms. */
+  /**
+   * Time without a response after which a leader stops replicating to an instance outside the group.
+   */
   private static final long LEARNER_PATIENCE_MILLIS = 10_000;
 
-  /** What a member is doing. */
+  /**
+   * The role of a member in its current term.
+   */
   public enum Role {
-    /** Follows a leader, or waits for one. */
+    /**
+     * Follows a leader or waits for one to be elected.
+     */
     FOLLOWER,
-    /** Asks whether a campaign could win. */
+    /**
+     * Requests pre-votes to determine whether it could win an election.
+     */
     PRE_CANDIDATE,
-    /** Campaigns in its term. */
+    /**
+     * Requests votes in its term.
+     */
     CANDIDATE,
-    /** Leads its term. */
+    /**
+     * Leads the group in its term.
+     */
     LEADER
   }
 
   private record Waiting(long ticket, long index, ChangeResult resultOnCommit) {}
 
-  /** Turns in an election timeout, in which the members of a group that starts campaign. */
+  /**
+   * Number of slots that an election timeout is divided into; after a start, each member begins its first election in a slot of its own.
+   */
   private static final int ELECTION_TURNS = 6;
 
-  /** Part of an election timeout, as a divisor, that a member leaves to one that asks first. */
+  /**
+   * Divisor of the election timeout: the fraction by which a member defers its own election after it grants a pre-vote.
+   */
   private static final int GIVE_WAY_SHARE = 4;
 
   private final String id;
@@ -75,12 +88,11 @@
    * Recovers a member from its storage.
    *
    * @param id this member's id
-   * @param group the ids of all members, this one included, the same at every member; empty if the
-   *     log names them (a {@link Command.GroupChange}, or the snapshot of the first start)
-   * @param timing the timeouts
-   * @param storage the durable log
-   * @param random draws the election timeouts
-   * @param nowMillis the steady clock's reading
+   * @param group the ids of all members including this one, identical at every member; empty if the log defines them (in a {@link Command.GroupChange} or in the snapshot of the first start)
+   * @param timing the intervals and timeouts
+   * @param storage the durable storage of the log
+   * @param random source of the election timeouts
+   * @param nowMillis the current reading of the monotonic clock, in milliseconds
    */
   public ConsensusMember(
       String id,
@@ -90,7 +102,7 @@
       RandomGenerator random,
       long nowMillis) {
     if (!group.isEmpty() && !group.contains(id)) {
-      throw new IllegalArgumentException("the control group " + group + " does not name " + id);
+      throw new IllegalArgumentException("the control group " + group + " does not contain " + id);
     }
     this.id = id;
     this.namedGroup = Set.copyOf(group);
@@ -109,11 +121,7 @@
   }
 
   /**
-   * The wait of a member that has just started. It would hear of a living leader within a
-   * heartbeat; after a restart of the whole group nobody leads, and waiting only prolongs the
-   * outage. So the members campaign in the order of their names, each after the one before could
-   * have won: drawn at random between a quarter and the whole of the timeout, the first of five
-   * campaigned after 300 ms in the mean, and now after 100 ms with a timeout of 800 ms.
+   * Returns the delay before the first election of a member that has just started. A live leader would contact it within a heartbeat interval; after a restart of the whole group there is no leader, and waiting only prolongs the outage. The members therefore start their elections in the order of their ids, each after the previous one could have won. With a timeout of 800 ms, the first of five members starts its election after 100 ms on average; with a delay drawn at random between a quarter of the timeout and the whole timeout, it started after 300 ms on average.
    */
   private long firstElectionMillis() {
     long turnMillis = timing.electionMillis() / ELECTION_TURNS;
@@ -124,7 +132,9 @@
         : turnMillis / 2 + turnMillis * turn + jitterMillis;
   }
 
-  /** Returns the group's members, as the settings or else the log's last entries name them. */
+  /**
+   * Returns the ids of the group's members: those configured, or else those in the last group change in the log.
+   */
   public Set<String> group() {
     return namedGroup.isEmpty() ? log.members() : namedGroup;
   }
@@ -137,17 +147,23 @@
     return group().size() / 2 + 1;
   }
 
-  /** Returns what this member is doing. */
+  /**
+   * Returns the role of this member.
+   */
   public Role role() {
     return role;
   }
 
-  /** Returns the leader this member knows, itself included. */
+  /**
+   * Returns the leader that this member follows, or this member itself if it leads; empty if there is none.
+   */
   public Optional<String> leader() {
     return leader;
   }
 
-  /** Returns the current term, which is also the fencing token of the leader's orders. */
+  /**
+   * Returns the current term, which is also the fencing token of orders from the leader.
+   */
   public long term() {
     return hardState.term();
   }
@@ -162,16 +178,15 @@
     return log.commitIndex();
   }
 
-  /** Returns the index of the last entry held. */
+  /**
+   * Returns the index of the last log entry, committed or not.
+   */
   public long lastIndex() {
     return log.lastIndex();
   }
 
   /**
-   * Returns whether the committed state is current: since it started, this member has committed an
-   * entry of the term it follows or leads and all that its leader had committed, and it is a voter.
-   * Before that the state may be older than what was in force here, and must not be shown: the one
-   * recovered from disk lags, and a member that lost its disk may follow a leader long deposed.
+   * Returns whether the committed state is current: since its start, this member has committed an entry of the term that it follows or leads and everything that its leader had committed, and it is a voter. Until then the state may be older than the one last active at this instance and must not be exposed: the state recovered from disk may lag behind, and a member that lost its disk may follow a leader that has been deposed.
    */
   public boolean caughtUp() {
     return caughtUp;
@@ -182,7 +197,9 @@
     return log.state();
   }
 
-  /** Lets time pass: campaigns, sends heartbeats or steps down when due. */
+  /**
+   * Processes timers: starts an election, sends heartbeats or steps down when due.
+   */
   public Output tick(long nowMillis) {
     Output out = new Output();
     if (role == Role.LEADER) {
@@ -203,11 +220,10 @@
   /**
    * Proposes an operator's change.
    *
-   * @param ticket names the proposal in the {@link Output.Decision} that answers it, which may come
-   *     with a later step
-   * @param change the change, already checked
-   * @param expectedVersion the version the change is based on
-   * @param nowMillis the steady clock's reading
+   * @param proposalId identifies the proposal in its {@link Output.Decision}, which may be returned by a later step
+   * @param change the change, already validated
+   * @param expectedVersion the version that the change is based on
+   * @param nowMillis the current reading of the monotonic clock, in milliseconds
    */
   public Output propose(long ticket, Command.Change change, long expectedVersion, long nowMillis) {
     Output out = new Output();
@@ -235,14 +251,11 @@
   }
 
   /**
-   * Proposes a command that needs no expected version. A routing document whose version is not
-   * higher than the newest held is answered as accepted without an entry, once that newest one is
-   * committed.
+   * Proposes a command that needs no expected version. A routing document whose version is not higher than the highest in the log is reported as accepted without a new entry, once the last entry is committed.
    *
-   * @param ticket names the proposal in the {@link Output.Decision} that answers it
-   * @param command the command, already checked; a {@link Command.Noop} proves that this member
-   *     still leads, as a read of the newest state needs
-   * @param nowMillis the steady clock's reading
+   * @param proposalId identifies the proposal in its {@link Output.Decision}, which may be returned by a later step
+   * @param command the command, already validated; once a {@link Command.Noop} is committed, this member is confirmed to be still the leader, which a linearizable read requires
+   * @param nowMillis the current reading of the monotonic clock, in milliseconds
    */
   public Output submit(long ticket, Command command, long nowMillis) {
     Output out = new Output();
@@ -263,7 +276,9 @@
     return out;
   }
 
-  /** Begins to replicate to an instance that is no member yet, if this member leads. */
+  /**
+   * Starts replication to an instance that is not yet a member (a learner), if this member leads.
+   */
   public Output admit(String learner, long nowMillis) {
     Output out = new Output();
     if (role == Role.LEADER && !learner.equals(id) && !followers.containsKey(learner)) {
@@ -274,7 +289,9 @@
     return out;
   }
 
-  /** Changes the group as the policy says, if this member leads and no change is pending. */
+  /**
+   * Changes the group as the policy specifies, if this member leads, the log defines the group, an entry of the current term is committed and no group change is pending.
+   */
   public Output adjustGroup(GroupPolicy policy, long nowMillis) {
     Output out = new Output();
     boolean settled =
@@ -315,14 +332,15 @@
   }
 
   /**
-   * Returns whether this member is in touch with a majority: it leads and hears a quorum, or it has
-   * heard such a leader within an election timeout.
+   * Returns whether this member is in contact with a majority: it leads and a quorum responds to it, or it has received a message from a leader within an election timeout.
    */
   public boolean inMajority(long nowMillis) {
     return role == Role.LEADER ? hearsQuorum(nowMillis) : leaderIsAlive(nowMillis);
   }
 
-  /** Takes a message from another member. */
+  /**
+   * Processes a message from another member.
+   */
   public Output receive(String from, ConsensusMessage message, long nowMillis) {
     Output out = new Output();
     boolean raisesTerm =
@@ -436,11 +454,7 @@
   }
 
   /**
-   * Lets another member that may win campaign first, since two candidates in one term split the
-   * vote. A member that only waits holds back its own campaign; of two that ask at once with equal
-   * logs, the one later by name stops asking. With two of five disks lost and 55 ms one way, a
-   * group that starts has a leader after 0.86 s in 99 of 100 simulated starts, before after 2.0 s;
-   * one that loses its leader has another after 1.6 s, before after 3.4 s.
+   * Defers this member's own election to a member that it grants a pre-vote, since two candidates in one term split the vote. A follower postpones its election; of two members that request pre-votes at once with equal logs, the one whose id sorts later withdraws. With two of five disks lost and a one-way delay of 55 ms, 99 of 100 simulated group starts have a leader within 0.86 s, compared with 2.0 s without this rule, and after the loss of a leader another one is elected within 1.6 s, compared with 3.4 s.
    */
   private void giveWay(String from, ConsensusMessage.VoteRequest request, long nowMillis) {
     boolean equalLogs =
@@ -612,7 +626,9 @@
     }
   }
 
-  /** Commits what a quorum of voters holds, once an entry of this term is among it. */
+  /**
+   * Commits the entries that a quorum of voters has stored, once an entry of the current term is among them.
+   */
   private void advanceCommit(long nowMillis, Output out) {
     long[] held =
         java.util.stream.LongStream.concat(
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusMessage.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusMessage.java
@@ -2,42 +2,45 @@
 
 import java.util.List;
 
-/** The messages between the members of the control group. Every one carries the sender's term. */
+/**
+ * The messages between the members of the control group. Each carries a term.
+ */
 public sealed interface ConsensusMessage {
 
-  /** Returns the sender's term; for a pre-vote the term it would campaign in. */
+  /**
+   * Returns the sender's term; in a pre-vote request and in its granted response, the term of the election that would follow.
+   */
   long term();
 
   /**
-   * Asks for a vote.
+   * Requests a vote or a pre-vote.
    *
-   * @param term the term campaigned in
-   * @param lastIndex the candidate's last log index
-   * @param lastTerm that entry's term
-   * @param preVote true to ask whether a campaign could win, without raising anybody's term
+   * @param term the term of the election; for a pre-vote, the term of the election that would follow
+   * @param lastIndex the index of the candidate's last log entry
+   * @param lastTerm the term of that entry
+   * @param preVote true for a pre-vote, which determines whether an election could be won and raises no member's term
    */
   record VoteRequest(long term, long lastIndex, long lastTerm, boolean preVote)
       implements ConsensusMessage {}
 
   /**
-   * Answers a {@link VoteRequest}.
+   * Responds to a {@link VoteRequest}.
    *
-   * @param term the term granted, or the voter's own term on a refusal
-   * @param granted whether the vote is given
-   * @param preVote whether a pre-vote is answered
+   * @param term the term of the request for a granted pre-vote, otherwise the voter's own term
+   * @param granted whether the vote is granted
+   * @param preVote whether the request was a pre-vote
    */
   record VoteResponse(long term, boolean granted, boolean preVote) implements ConsensusMessage {}
 
   /**
-   * Replicates entries, or with none is the leader's heartbeat.
+   * Replicates log entries; without entries it is the leader's heartbeat.
    *
    * @param term the leader's term
    * @param previousIndex the index before the first entry
    * @param previousTerm the term at that index
    * @param entries the entries, possibly none
    * @param commitIndex the leader's commit index
-   * @param echoedSession the session the leader last heard from this follower, so that a message
-   *     sent after the follower's restart can be told from one delayed since before
+   * @param echoedSession the session in the leader's last response from this follower, which distinguishes a message sent after the follower's restart from a delayed one sent before it
    */
   record AppendRequest(
       long term,
@@ -47,28 +50,30 @@
       long commitIndex,
       long echoedSession)
       implements ConsensusMessage {
-    /** Copies the entries so the message is immutable. */
+    /**
+     * Copies the entries so that the message is immutable.
+     */
     public AppendRequest {
       entries = List.copyOf(entries);
     }
   }
 
   /**
-   * Answers an {@link AppendRequest} or a {@link SnapshotRequest}.
+   * Responds to an {@link AppendRequest} or a {@link SnapshotRequest}.
    *
    * @param term the follower's term
    * @param accepted whether the log now matches the leader's up to {@code matchIndex}
-   * @param matchIndex on acceptance the last index known to match, else the follower's last index
-   * @param storageId the follower's data folder
+   * @param matchIndex if accepted, the last index known to match; otherwise the last index that may match, from which the leader continues its search
+   * @param storageId the id of the follower's data folder
    * @param voter whether the follower is a voter, so that its acknowledgement counts
-   * @param session a number the follower drew at its start
+   * @param session a random number that the follower drew at its start
    */
   record AppendResponse(
       long term, boolean accepted, long matchIndex, String storageId, boolean voter, long session)
       implements ConsensusMessage {}
 
   /**
-   * Sends a whole snapshot to a follower that lacks entries the leader has compacted.
+   * Sends a complete snapshot to a follower that lacks entries which the leader has compacted.
    *
    * @param term the leader's term
    * @param snapshot the snapshot
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusTiming.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusTiming.java
@@ -1,14 +1,15 @@
 package org.lacewingcroft.consensus;
 
 /**
- * Timeouts of the control group, in milliseconds of a steady clock.
+ * Timing parameters of the control group; durations are in milliseconds of a monotonic clock.
  *
- * @param heartbeatMillis how often a leader sends to each follower at least
- * @param electionMillis silence of the leader after which a follower campaigns; the actual timeout
- *     is drawn between this and twice this, so that two members rarely campaign at once
- * @param compactAfterEntries entries behind the snapshot at which the log is compacted
+ * @param heartbeatIntervalMillis maximum time between two messages of a leader to the same follower
+ * @param electionTimeoutMillis minimum time without a message from the leader before a follower starts an election; the actual timeout is drawn at random between this and twice this, so that two members rarely start elections at the same time
+ * @param compactAfterEntries number of entries after the snapshot at which the log is compacted
  */
 public record ConsensusTiming(long heartbeatMillis, long electionMillis, int compactAfterEntries) {
-  /** Fits regions tens of milliseconds apart: a lost leader is replaced within about 2 s. */
+  /**
+   * Suitable for regions with tens of milliseconds of delay between them: a lost leader is replaced within about 2 s.
+   */
   public static final ConsensusTiming DEFAULT = new ConsensusTiming(150, 800, 256);
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/GroupPolicy.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/GroupPolicy.java
@@ -7,19 +7,18 @@
 import java.util.TreeSet;
 
 /**
- * Decides how the control group changes: it grows to its target size while there are instances to
- * add, and an instance lost for good is replaced by one that stands by.
+ * Decides how the membership of the control group changes: the group grows to its target size while there are instances to add, and a permanently lost member is replaced by a standby instance.
  *
- * <p>One change at a time, adding before removing, so that the group never has fewer disks than
- * before while a replacement is at hand. A silent member is removed only once a replacement is in:
- * a cut that heals by itself costs nothing.
+ * <p>Members are changed one at a time, and a member is added before another is removed, so that the group never has fewer disks than before while a replacement is available. An unresponsive member is removed only after its replacement has joined, so a network partition that heals without a replacement changes nothing.
  *
- * @param targetSize how many members the group shall have: twice the tolerated losses plus one
- * @param replaceAfterMillis silence after which a member may be replaced
+ * @param targetSize the target number of members: twice the number of tolerated failures plus one
+ * @param replaceAfterMillis time without a response, in milliseconds, after which a member may be replaced
  */
 public record GroupPolicy(int targetSize, long replaceAfterMillis) {
 
-  /** Returns the members after the next change, or empty if the group shall stay as it is. */
+  /**
+   * Returns the members after the next change, or empty if no change is needed.
+   */
   public Optional<Set<String>> next(Set<String> members, List<FollowerView> followers) {
     List<FollowerView> silent =
         followers.stream()
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/LogStorage.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/LogStorage.java
@@ -3,16 +3,18 @@
 import java.util.List;
 
 /**
- * The durable side of one member's log. Every method that changes something returns only once the
- * change is on disk; a failure is thrown as {@link java.io.UncheckedIOException} and the member
- * must then stop rather than acknowledge.
+ * The durable storage of one member's log. Every method that modifies it returns only after the modification is on disk; a failure is thrown as {@link java.io.UncheckedIOException}, and the member must then stop instead of acknowledging.
  */
 public interface LogStorage {
 
-  /** Returns the hard state as last saved. */
+  /**
+   * Returns the last saved hard state.
+   */
   HardState hardState();
 
-  /** Returns the newest snapshot, {@link Snapshot#EMPTY} if there is none. */
+  /**
+   * Returns the latest snapshot, or {@link Snapshot#EMPTY} if there is none.
+   */
   Snapshot snapshot();
 
   /** Returns the entries after the snapshot, in order without gaps. */
@@ -21,17 +23,21 @@
   /** Saves the hard state. */
   void save(HardState state);
 
-  /** Appends entries behind the last one. */
+  /**
+   * Appends entries after the last one.
+   */
   void append(List<LogEntry> entries);
 
-  /** Removes the entry at this index and all behind it. */
+  /**
+   * Removes the entry at this index and all entries after it.
+   */
   void truncateFrom(long index);
 
   /**
-   * Replaces the log's prefix by a snapshot.
+   * Replaces a prefix of the log by a snapshot.
    *
    * @param snapshot the snapshot
-   * @param tail the entries to keep behind it
+   * @param tail the entries after the snapshot to keep
    */
   void compact(Snapshot snapshot, List<LogEntry> tail);
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/Output.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/Output.java
@@ -3,14 +3,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What one step of a {@link ConsensusMember} asks its driver to do, in order. */
+/**
+ * The actions that one step of a {@link ConsensusMember} requests from its driver: messages, committed entries and decisions, each in order.
+ */
 public final class Output {
   private final List<Envelope> messages = new ArrayList<>();
   private final List<LogEntry> committed = new ArrayList<>();
   private final List<Decision> decisions = new ArrayList<>();
 
   /**
-   * A message to another member.
+   * A message addressed to another member.
    *
    * @param to the member's id
    * @param message the message
@@ -20,7 +22,7 @@
   /**
    * The outcome of a proposal.
    *
-   * @param ticket the ticket the driver gave with the proposal
+   * @param proposalId the id that the driver passed with the proposal
    * @param result the outcome
    */
   public record Decision(long ticket, ChangeResult result) {}
@@ -47,7 +49,9 @@
     return committed;
   }
 
-  /** Returns the proposals decided. */
+  /**
+   * Returns the decisions on proposals.
+   */
   public List<Decision> decisions() {
     return decisions;
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/Progress.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/Progress.java
@@ -1,6 +1,8 @@
 package org.lacewingcroft.consensus;
 
-/** What a leader knows of one follower. */
+/**
+ * The replication progress of one follower, as tracked by the leader.
+ */
 final class Progress {
   long nextIndex;
   long matchIndex;
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ReplicatedLog.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ReplicatedLog.java
@@ -6,8 +6,7 @@
 import java.util.Set;
 
 /**
- * One member's log in memory over its {@link LogStorage}: the snapshot, the entries behind it and
- * the commit index. Every change reaches the storage before it is visible here.
+ * One member's log, held in memory and backed by its {@link LogStorage}: the snapshot, the entries after it and the commit index. Every change is written to the storage before it becomes visible here.
  */
 final class ReplicatedLog {
   private final LogStorage storage;
@@ -43,12 +42,16 @@
     return tail.isEmpty() ? snapshot.state().version() : tail.get(tail.size() - 1).version();
   }
 
-  /** Returns the members the log names last, committed or not; empty if it names none. */
+  /**
+   * Returns the members in the last group change, committed or not; empty if the log defines none.
+   */
   Set<String> members() {
     return members;
   }
 
-  /** Returns whether a change of the members is held that is not yet committed. */
+  /**
+   * Returns whether the log contains a group change that is not yet committed.
+   */
   boolean groupChangePending() {
     for (long i = lastIndex(); i > commitIndex; i--) {
       if (entry(i).command() instanceof Command.GroupChange) {
@@ -58,7 +61,9 @@
     return false;
   }
 
-  /** Returns the routing version after the last entry, committed or not. */
+  /**
+   * Returns the highest routing version in the log, committed or not.
+   */
   long lastRoutingVersion() {
     long version = state.routing().version();
     for (long i = lastIndex(); i > commitIndex; i--) {
@@ -83,7 +88,9 @@
     return commitIndex;
   }
 
-  /** Returns the state after the committed entries. */
+  /**
+   * Returns the state after the last committed entry.
+   */
   ConfigState state() {
     return state;
   }
@@ -92,7 +99,9 @@
     return snapshot;
   }
 
-  /** Returns the term at an index from the snapshot's last on, or -1 where nothing is held. */
+  /**
+   * Returns the term of the entry at an index, which may be the last one of the snapshot; -1 if it is before that or after the last entry.
+   */
   long termAt(long index) {
     if (index == snapshot.lastIndex()) {
       return snapshot.lastTerm();
@@ -104,18 +113,24 @@
     return tail.get((int) (index - firstIndex()));
   }
 
-  /** Returns up to {@code limit} entries from an index on. */
+  /**
+   * Returns up to {@code limit} entries starting at an index.
+   */
   List<LogEntry> from(long index, int limit) {
     int start = (int) (index - firstIndex());
     return List.copyOf(tail.subList(start, Math.min(tail.size(), start + limit)));
   }
 
-  /** Returns whether a log ending with this term and index is at least as complete as ours. */
+  /**
+   * Returns whether a log whose last entry has this term and index is at least as up to date as this log.
+   */
   boolean coveredBy(long otherTerm, long otherIndex) {
     return otherTerm > lastTerm() || otherTerm == lastTerm() && otherIndex >= lastIndex();
   }
 
-  /** Returns the index of a change that is in the log but not yet committed, or 0. */
+  /**
+   * Returns the index of the uncommitted entry with this change id, or 0 if there is none.
+   */
   long uncommittedIndexOf(String changeId) {
     for (long i = commitIndex + 1; i <= lastIndex(); i++) {
       if (entry(i).command() instanceof Command.Change c && c.changeId().equals(changeId)) {
@@ -136,7 +151,9 @@
     return Optional.ofNullable(state.storageIdByMember().get(memberId));
   }
 
-  /** Appends one entry of the leader's own and returns it. */
+  /**
+   * Appends one entry on the leader and returns it.
+   */
   LogEntry append(long term, Command command) {
     long version = lastVersion() + (command instanceof Command.Change ? 1 : 0);
     LogEntry entry = new LogEntry(lastIndex() + 1, term, version, command);
@@ -146,7 +163,9 @@
     return entry;
   }
 
-  /** Takes a leader's entries: skips those held, cuts a conflicting suffix, appends the rest. */
+  /**
+   * Merges a leader's entries: skips those already present, truncates a conflicting suffix and appends the rest.
+   */
   void merge(List<LogEntry> entries) {
     List<LogEntry> fresh = new ArrayList<>();
     for (LogEntry e : entries) {
@@ -173,7 +192,9 @@
     tail.subList((int) (index - firstIndex()), tail.size()).clear();
   }
 
-  /** Commits up to an index (at most the last one held) and returns the entries it commits. */
+  /**
+   * Advances the commit index to the given index, at most to the last entry, and returns the newly committed entries.
+   */
   List<LogEntry> commitTo(long index) {
     List<LogEntry> committed = new ArrayList<>();
     while (commitIndex < Math.min(index, lastIndex())) {
@@ -185,7 +206,9 @@
     return committed;
   }
 
-  /** Replaces everything by a leader's snapshot, if it is ahead of what is committed here. */
+  /**
+   * Installs a leader's snapshot if it is ahead of the commit index; keeps the entries after it if the log matches it.
+   */
   void install(Snapshot newer) {
     if (newer.lastIndex() <= commitIndex) {
       return;
@@ -199,7 +222,9 @@
     commitIndex = newer.lastIndex();
   }
 
-  /** Compacts the committed prefix once the entries held reach the limit. */
+  /**
+   * Replaces the committed prefix by a snapshot if at least {@code limit} entries follow the last one.
+   */
   void compactOver(int limit) {
     if (tail.size() < limit || commitIndex < firstIndex()) {
       return;
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/RoutingState.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/RoutingState.java
@@ -6,15 +6,13 @@
 import java.util.Set;
 
 /**
- * The part of the replicated state that entries route by: the routing document with the version its
- * operator gave it, and the failure domains that an operator has evacuated. Immutable.
+ * The part of the replicated state that entries use for routing: the routing document with its version, and the failure domains that an operator has evacuated. Immutable.
  *
- * @param revision counts the changes that had an effect, so that states can be ordered
- * @param version the operator's version of the document; 0 before the first one
+ * @param revision number of changes that had an effect, which orders the states
+ * @param version the document's version, assigned by the operator; 0 before the first document
  * @param document the document's text, empty at version 0
- * @param evacuatedDomains the failure domains whose endpoints get no work
- * @param evacuationChangedAt the revision at which each failure domain's evacuation last began or
- *     ended
+ * @param evacuatedDomains the failure domains whose endpoints receive no requests
+ * @param evacuationChangedAt the revision at which the evacuation of each failure domain last started or ended
  */
 public record RoutingState(
     long revision,
@@ -25,13 +23,17 @@
   /** The state before the first document. */
   public static final RoutingState EMPTY = new RoutingState(0, 0, "", Set.of(), Map.of());
 
-  /** Copies the collections so the state is immutable. */
+  /**
+   * Copies the collections so that the state is immutable.
+   */
   public RoutingState {
     evacuatedDomains = Set.copyOf(evacuatedDomains);
     evacuationChangedAt = Map.copyOf(evacuationChangedAt);
   }
 
-  /** Returns the state with this document, or this state if the document's version is not newer. */
+  /**
+   * Returns the state with this document, or this state if the document's version is not higher.
+   */
   public RoutingState offered(long newVersion, String newDocument) {
     return newVersion > version
         ? new RoutingState(
@@ -40,12 +42,9 @@
   }
 
   /**
-   * Returns the state with an evacuation begun or ended, or this state if that was changed since
-   * the order was given. A copy of an order that a cut held up so has no effect when it arrives
-   * after the evacuation has been ended; without that, half of a region's endpoints stayed
-   * evacuated for good.
+   * Returns the state with an evacuation started or ended, or this state if the evacuation of the domain has changed since the order was given. A copy of an order that was delayed by a network partition therefore has no effect if it arrives after the evacuation has ended; without this check, half of a region's endpoints stayed evacuated permanently.
    *
-   * @param basisRevision the revision known where the operator gave the order, when it was given
+   * @param baseRevision the revision at the instance where the operator gave the order, at that time
    */
   public RoutingState evacuated(String failureDomain, boolean active, long basisRevision) {
     boolean overtaken = evacuationChangedAt.getOrDefault(failureDomain, 0L) > basisRevision;
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/Snapshot.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/Snapshot.java
@@ -1,10 +1,10 @@
 package org.lacewingcroft.consensus;
 
 /**
- * The state after a committed prefix of the log, which replaces that prefix on disk.
+ * The state after a committed prefix of the log; it replaces that prefix on disk.
  *
- * @param lastIndex the last entry it covers; 0 for the empty snapshot
- * @param lastTerm that entry's term
+ * @param lastIndex the index of the last entry that it covers; 0 for the empty snapshot
+ * @param lastTerm the term of that entry
  * @param state the state after that entry
  */
 public record Snapshot(long lastIndex, long lastTerm, ConfigState state) {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Gossiper.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Gossiper.java
@@ -14,24 +14,24 @@
 import org.lacewingcroft.peer.PeerMessage;
 
 /**
- * Decides, interval by interval, to whom one daemon gossips and what it says.
+ * Selects, for each gossip interval, the daemons to which one daemon sends gossip and the content of the messages.
  *
- * <p>In its region a daemon sends to {@link #FANOUT} members; a sign of life reaches all in about
- * log(n) intervals, so the cost of a daemon does not grow with the number it sends to. Across
- * regions only the region's {@link #DELEGATES} speak: each tells {@link #REGION_FANOUT} other
- * regions an interval about its own, and members pass on what they know of the rest. Members that
- * started lately are introduced in full for some intervals; of the others only the freshest signs
- * of life are sent. Seeds are asked until others are known, and now and then after that, so that
- * parts that lost each other meet again.
+ * <p>Within its region a daemon sends to {@link #FANOUT} members; a heartbeat reaches all of them in about log(n) intervals, so the cost per daemon does not grow with the size of the region. Between regions only the {@link #DELEGATES} of a region send: in each interval, each sends a digest of its own region to {@link #REGION_FANOUT} other regions, and members relay the digests of the others that they have received. Recently started members are introduced with their full description for some intervals; for all others a random sample of the latest heartbeats is sent. Seeds are contacted while no member of the region is known and at regular intervals after that, so that partitions of the membership that lost contact merge again.
  */
 public final class Gossiper {
-  /** Members of the own region gossiped to in an interval. */
+  /**
+   * Maximum number of members of the own region that receive gossip in an interval.
+   */
   public static final int FANOUT = 2;
 
-  /** Other regions a delegate gossips to in an interval. */
+  /**
+   * Maximum number of members of other regions to which a delegate sends gossip in an interval.
+   */
   public static final int REGION_FANOUT = 2;
 
-  /** How many members of a region speak for it to others. */
+  /**
+   * Number of entries of a region that send its digests to other regions.
+   */
   public static final int DELEGATES = 2;
 
   private static final int INTRODUCTION_ROUNDS = 8;
@@ -54,16 +54,22 @@
    */
   public record Outgoing(String address, PeerMessage.Gossip gossip) {}
 
-  /** What a daemon says of itself in one interval. */
+  /**
+   * The status that a daemon reports about itself in one interval.
+   *
+   * @param draining whether it is shutting down and accepts no new requests
+   * @param configVersion its active configuration version
+   * @param freeSlotsByModel its region's free capacity by model, in request slots
+   */
   public record SelfReport(
       boolean leaving, long configVersion, Map<String, Integer> freeSlotsByModel) {}
 
   /**
    * Creates the gossiper of one daemon.
    *
-   * @param self how the daemon describes itself
-   * @param seeds peer addresses asked while nobody is known
-   * @param random picks receivers
+   * @param self the daemon's description of itself
+   * @param seeds peer addresses through which other members are discovered
+   * @param random selects receivers and samples of members
    */
   public Gossiper(MemberInfo self, List<String> seeds, Random random) {
     this.self = self;
@@ -72,7 +78,9 @@
     this.stamp = self.incarnation();
   }
 
-  /** Returns this interval's messages. */
+  /**
+   * Returns the messages to send in this interval.
+   */
   public List<Outgoing> round(SelfReport report, MemberTable table, Instant now) {
     counter++;
     Set<String> receivers = new LinkedHashSet<>();
@@ -113,9 +121,9 @@
   }
 
   /**
-   * Answers a daemon that looks for members of its region with those known here.
+   * Responds to a daemon that requests members of its region with a sample of those known here.
    *
-   * @return the answer, or empty if there is nothing to tell
+   * @return the response, or empty if the message requests no members or none are known
    */
   public Optional<Outgoing> answer(
       PeerMessage.Gossip asking, long configVersion, MemberTable table) {
@@ -141,9 +149,7 @@
   }
 
   /**
-   * Returns the receivers in the region: the next member in the order of node ids, so that
-   * everybody hears somebody in every interval, and others at random. For a control daemon the
-   * other members of its group count as its region's.
+   * Returns the receivers in the region: the next member in the order of node ids, so that every member receives gossip in every interval, and others at random. For a control daemon, the other control daemons of all regions are candidates too.
    */
   private List<Member> regionReceivers(List<Member> followed) {
     List<Member> ring =
@@ -216,7 +222,9 @@
         self, report.configVersion(), signs, introductions, digest.stream().toList(), asking);
   }
 
-  /** Returns the members that started last, while news, and one other at random. */
+  /**
+   * Returns the recently started members, or all members if this daemon has recently started, and in some intervals one other member at random.
+   */
   private List<MemberInfo> introductions(List<Member> followed) {
     List<MemberInfo> infos = new ArrayList<>();
     followed.stream()
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Liveness.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Liveness.java
@@ -1,16 +1,18 @@
 package org.lacewingcroft.membership;
 
 /**
- * A sign of life of a daemon, passed on by gossip.
+ * A heartbeat of a daemon, relayed by gossip.
  *
- * @param nodeId the daemon
- * @param incarnation the start of its process
- * @param counter raised by the daemon itself in every interval
- * @param leaving true while it shuts down gracefully and takes no new work
+ * @param nodeId the daemon's node id
+ * @param incarnation the start time of its process in milliseconds
+ * @param counter incremented by the daemon in every gossip interval
+ * @param draining whether it is shutting down and accepts no new requests
  */
 public record Liveness(String nodeId, long incarnation, long counter, boolean leaving) {
 
-  /** Returns whether this was given after the other. */
+  /**
+   * Returns whether this heartbeat is newer than the other.
+   */
   boolean newerThan(Liveness other) {
     return incarnation > other.incarnation
         || incarnation == other.incarnation && counter > other.counter;
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Member.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Member.java
@@ -5,23 +5,26 @@
 import org.lacewingcroft.peer.MemberInfo;
 
 /**
- * A daemon as known to another one: of the own region and of the control group from its signs of
- * life, an entry of another region from that region's digest.
+ * A daemon as recorded by another one: a member of the own region or of the control group from its heartbeats, an entry of another region from that region's digest or from its own gossip.
  *
- * @param info how the daemon described itself
- * @param liveness its newest sign of life
- * @param lastSeenAt when that arrived, by whatever way
+ * @param info the daemon's description of itself
+ * @param heartbeat its latest heartbeat
+ * @param lastSeenAt when that heartbeat or the digest was received, directly or relayed
  * @param freeSlotsByModel its region's free capacity by model, for an entry of another region
  */
 public record Member(
     MemberInfo info, Liveness liveness, Instant lastSeenAt, Map<String, Integer> freeSlotsByModel) {
 
-  /** Copies the map so the record is immutable. */
+  /**
+   * Copies the map so that the record is immutable.
+   */
   public Member {
     freeSlotsByModel = Map.copyOf(freeSlotsByModel);
   }
 
-  /** Returns whether the daemon shuts down gracefully and takes no new work. */
+  /**
+   * Returns whether the daemon is draining: it is shutting down and accepts no new requests.
+   */
   public boolean leaving() {
     return liveness.leaving();
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/MemberStatus.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/MemberStatus.java
@@ -1,11 +1,19 @@
 package org.lacewingcroft.membership;
 
-/** The liveness of a member as judged from the time since its last heartbeat. */
+/**
+ * The status of a member, derived from the time since its last heartbeat.
+ */
 public enum MemberStatus {
-  /** Heard from within the suspicion timeout. */
+  /**
+   * Its last heartbeat arrived within the suspicion timeout.
+   */
   ALIVE,
-  /** Silent longer than the suspicion timeout: no new work is placed on it. */
+  /**
+   * No heartbeat within the suspicion timeout: it receives no new requests.
+   */
   SUSPECT,
-  /** Silent longer than the removal timeout: dropped from the table. */
+  /**
+   * No heartbeat within the removal timeout: it is removed from the table.
+   */
   DEAD
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/MemberTable.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/MemberTable.java
@@ -15,15 +15,14 @@
 import org.lacewingcroft.peer.PeerMessage;
 
 /**
- * An immutable table of the daemons one daemon knows, fed by gossip.
+ * An immutable table of the members known to one daemon, updated by gossip.
  *
- * <p>A member is {@link MemberStatus#ALIVE} while its counter has risen within {@link
- * #suspectIntervals}, which allows for the time gossip takes in a region of this size; then {@link
- * MemberStatus#SUSPECT} for as long again, then removed. What was known of a removed member is kept
- * for a while, so that a peer that still passes on its old counter does not bring it back.
+ * <p>A member is {@link MemberStatus#ALIVE} while its heartbeat counter has increased within {@link #suspicionTimeoutIntervals}, which allows for the propagation time of gossip in a region of this size; then it is {@link MemberStatus#SUSPECT} for the same time again, and then it is removed. The last heartbeat of a removed member is retained for some time as a tombstone, so that a peer that still relays its old counter does not restore it.
  */
 public final class MemberTable {
-  /** How many times longer entries of other regions may be silent; digests travel slowly. */
+  /**
+   * Factor by which the timeouts of entries of other regions are longer, since digests propagate slowly.
+   */
   public static final int OTHER_REGION_PATIENCE = 4;
 
   private static final int TOMBSTONE_SUSPICIONS = 20;
@@ -41,7 +40,7 @@
   /**
    * Creates an empty table.
    *
-   * @param self the daemon whose table it is; it is not in the table itself
+   * @param self the daemon that maintains the table; it is not contained in the table
    * @param interval the gossip interval
    */
   public MemberTable(MemberInfo self, Duration interval) {
@@ -64,7 +63,9 @@
     this.incomplete = incomplete;
   }
 
-  /** Returns the table after a gossip message. */
+  /**
+   * Returns the table updated by a gossip message.
+   */
   public MemberTable heard(PeerMessage.Gossip gossip, Instant now) {
     Map<String, Member> members = new HashMap<>(byId);
     final Map<String, RegionDigest> digests = new HashMap<>(digestByOriginator);
@@ -85,17 +86,23 @@
     return !members.containsKey(sign.nodeId()) && !sign.nodeId().equals(self.nodeId()) && !buried;
   }
 
-  /** Returns whether the last gossip gave a sign of life of a member this daemon does not know. */
+  /**
+   * Returns whether the last gossip message had a heartbeat of a member that is not in the table.
+   */
   public boolean incomplete() {
     return incomplete;
   }
 
-  /** Returns whether this daemon follows the signs of life of a member itself. */
+  /**
+   * Returns whether this daemon tracks the heartbeats of a member itself.
+   */
   private boolean follows(MemberInfo info) {
     return info.region().equals(self.region()) || info.role().equals(MemberInfo.CONTROL);
   }
 
-  /** Keeps a sender of another region as a contact there, while it is heard of. */
+  /**
+   * Records a sender from another region as a contact there; it is removed if no more of its gossip or digests that name it arrive.
+   */
   private void meet(
       MemberInfo sender, Map<String, Liveness> signs, Map<String, Member> members, Instant now) {
     Liveness sign = signs.get(sender.nodeId());
@@ -134,7 +141,9 @@
     }
   }
 
-  /** Takes over a newer digest of another region: its free capacity and its contacts. */
+  /**
+   * Applies a digest of another region if it is newer: its free capacity and its contacts.
+   */
   private void takeDigest(
       RegionDigest digest,
       Map<String, RegionDigest> digests,
@@ -153,15 +162,17 @@
                 : m);
     for (MemberInfo contact : digest.contacts()) {
       if (!follows(contact)) {
-        // A digest says that a contact lives, but not by which counter: one made up here would
-        // outrank the contact's own signs of life wherever it is passed on.
+        // A digest reports that a contact is alive, but not its heartbeat counter. A counter other
+        // than 0 could supersede the contact's own heartbeats at the daemons it is relayed to.
         Liveness sign = new Liveness(contact.nodeId(), contact.incarnation(), 0, false);
         members.put(contact.nodeId(), new Member(contact, sign, now, digest.freeSlotsByModel()));
       }
     }
   }
 
-  /** Returns the table with every member's silence counted from the given time on. */
+  /**
+   * Returns the table with the given time as the last-seen time of every member.
+   */
   public MemberTable allHeardAt(Instant now) {
     Map<String, Member> members = new HashMap<>();
     byId.forEach(
@@ -169,7 +180,9 @@
     return new MemberTable(self, interval, members, tombstones, digestByOriginator, incomplete);
   }
 
-  /** Returns the table without members silent for longer than the removal timeout. */
+  /**
+   * Returns the table without the members whose removal timeout has expired.
+   */
   public MemberTable withoutDead(Instant now) {
     Map<String, Member> members = new HashMap<>(byId);
     Map<String, Tombstone> graves = new HashMap<>(tombstones);
@@ -187,7 +200,9 @@
         : new MemberTable(self, interval, members, graves, digestByOriginator, incomplete);
   }
 
-  /** Returns after how many intervals of silence a member of a region of this size is suspect. */
+  /**
+   * Returns the suspicion timeout in gossip intervals, given the number of members whose heartbeats are tracked.
+   */
   public static int suspectIntervals(int members) {
     return 3 + (int) Math.ceil(2 * Math.log(Math.max(1, members)) / Math.log(2));
   }
@@ -210,19 +225,23 @@
         : MemberStatus.DEAD;
   }
 
-  /** Returns every member, whatever its status, by node id. */
+  /**
+   * Returns all members of any status, ordered by node id.
+   */
   public Collection<Member> all() {
     return byId.values();
   }
 
   /**
-   * Returns the members whose signs of life this daemon follows: its region and the control group.
+   * Returns the members whose heartbeats this daemon tracks: its region and the control group.
    */
   public List<Member> followed() {
     return byId.values().stream().filter(m -> follows(m.info())).collect(Collectors.toList());
   }
 
-  /** Returns the newest digest of each other region. */
+  /**
+   * Returns the latest digest of each other region.
+   */
   public Collection<RegionDigest> digests() {
     Map<String, RegionDigest> newest = new TreeMap<>();
     digestByOriginator
@@ -231,19 +250,25 @@
     return newest.values();
   }
 
-  /** Returns the member with this id, if known. */
+  /**
+   * Returns the member with this node id, if it is in the table.
+   */
   public Optional<Member> get(String nodeId) {
     return Optional.ofNullable(byId.get(nodeId));
   }
 
-  /** Returns the alive members of a role in a region that are not leaving, ordered by node id. */
+  /**
+   * Returns the alive members of a role in a region that are not draining, ordered by node id.
+   */
   public List<Member> alive(String role, String region, Instant now) {
     return known(role, region).stream()
         .filter(m -> !m.leaving() && status(m, now) == MemberStatus.ALIVE)
         .collect(Collectors.toList());
   }
 
-  /** Returns the members of a role in a region, suspect and leaving ones too, by node id. */
+  /**
+   * Returns the members of a role in a region, including suspect and draining ones, ordered by node id. If the region is null, members of all regions are included.
+   */
   public List<Member> known(String role, String region) {
     return byId.values().stream()
         .filter(m -> m.info().role().equals(role))
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/RegionDigest.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/RegionDigest.java
@@ -5,14 +5,13 @@
 import org.lacewingcroft.peer.MemberInfo;
 
 /**
- * What the other regions need to know of a region: a few entries to send requests to and its free
- * capacity. Made by the region's delegates and passed on by gossip.
+ * A summary of a region for other regions: some of its entries to which requests can be sent, and its free capacity. Created by the region's delegates and relayed by gossip.
  *
  * @param region the region
- * @param originator the delegate that made it
- * @param stamp rises with each digest of the originator, over its restarts too
- * @param contacts live entries of the region, at most {@link #MAX_CONTACTS}
- * @param freeSlotsByModel the region's free capacity by model
+ * @param originator the node id of the delegate that created it
+ * @param sequence increases with each digest of the originator, also across its restarts
+ * @param contacts alive entries of the region, at most {@link #MAX_CONTACTS}
+ * @param freeSlotsByModel the region's free capacity by model, in request slots
  */
 public record RegionDigest(
     String region,
@@ -20,10 +19,14 @@
     long stamp,
     List<MemberInfo> contacts,
     Map<String, Integer> freeSlotsByModel) {
-  /** How many entries a digest names. */
+  /**
+   * Maximum number of entries listed in a digest.
+   */
   public static final int MAX_CONTACTS = 2;
 
-  /** Copies the collections so the digest is immutable. */
+  /**
+   * Copies the collections so that the digest is immutable.
+   */
   public RegionDigest {
     contacts = List.copyOf(contacts);
     freeSlotsByModel = Map.copyOf(freeSlotsByModel);
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/config/ConfigLearningTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/config/ConfigLearningTest.java
@@ -14,7 +14,9 @@
 class ConfigLearningTest {
   private static final Instant START = Instant.EPOCH;
 
-  /** One event after the start: what a peer reports or offers, and what is in force after it. */
+  /**
+   * One event after the start: a version that a peer reports or offers, or a timer tick, and the active version after it.
+   */
   private record Step(long atMillis, String kind, long version, long inForce) {}
 
   private static Step report(long atMillis, long version, long inForce) {
@@ -32,10 +34,10 @@
   static Stream<Arguments> schedules() {
     return Stream.of(
         Arguments.of(
-            "holds the first offer back while it listens",
+            "holds back the first offer during the settling time",
             List.of(report(0, 5, 0), offer(10, 5, 0), tick(900, 0), tick(1_000, 5))),
         Arguments.of(
-            "a lagging peer answers first",
+            "a lagging peer responds first",
             List.of(
                 report(0, 5, 0),
                 offer(10, 5, 0),
@@ -43,7 +45,7 @@
                 tick(1_000, 0),
                 offer(1_200, 7, 7))),
         Arguments.of(
-            "the peer with the newest version vanishes",
+            "the peer with the newest version becomes unreachable",
             List.of(
                 report(0, 5, 0),
                 offer(10, 5, 0),
@@ -51,9 +53,9 @@
                 tick(4_999, 0),
                 tick(5_000, 5))),
         Arguments.of(
-            "applies newer versions at once when settled",
+            "applies newer versions immediately after settling",
             List.of(report(0, 5, 0), offer(1_000, 5, 5), offer(1_001, 6, 6), offer(1_002, 4, 6))),
-        Arguments.of("nothing heard", List.of(tick(60_000, 0))));
+        Arguments.of("no reports and no offers", List.of(tick(60_000, 0))));
   }
 
   @ParameterizedTest(name = "{0}")
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/config/ConfigParserTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/config/ConfigParserTest.java
@@ -69,7 +69,9 @@
     assertThat(e.getMessage(), containsString("remedy"));
   }
 
-  /** The users' target: the document is larger than the YAML reader's limit by default. */
+  /**
+   * Guards against rejecting a document of the target size, which is larger than the default limit of the YAML parser.
+   */
   @Test
   void readsDocumentOfTheTargetSize() {
     int organisations = 48_000;
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/config/ConfigPatchTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/config/ConfigPatchTest.java
@@ -27,20 +27,22 @@
 
   static Stream<Arguments> patches() {
     return Stream.of(
-        Arguments.of("nothing", "{}", "writers,desk", "a,b"),
-        Arguments.of("adds", "organisations: [{name: c}]", "writers,desk", "a,b,c"),
-        Arguments.of("replaces in place", "selectors: [{name: writers}]", "writers,desk", "a,b"),
-        Arguments.of("removes", "remove: {selectors: [writers]}", "desk", "a,b"),
+        Arguments.of("empty patch", "{}", "writers,desk", "a,b"),
+        Arguments.of("adds an organisation", "organisations: [{name: c}]", "writers,desk", "a,b,c"),
+        Arguments.of("replaces a selector in place", "selectors: [{name: writers}]", "writers,desk", "a,b"),
+        Arguments.of("removes a selector", "remove: {selectors: [writers]}", "desk", "a,b"),
         Arguments.of(
-            "removes what is not there", "remove: {organisations: [x]}", "writers,desk", "a,b"),
+            "removes an unknown organisation", "remove: {organisations: [x]}", "writers,desk", "a,b"),
         Arguments.of(
-            "removes and adds again",
+            "removes and re-adds a selector",
             "selectors: [{name: writers}]\nremove: {selectors: [writers]}",
             "desk,writers",
             "a,b"));
   }
 
-  /** The parsed configuration and the written document must say the same. */
+  /**
+   * The patched configuration must be equal to the configuration parsed from the patched document.
+   */
   @ParameterizedTest(name = "{0}")
   @MethodSource("patches")
   void changesWhatItNamesAndNothingElse(
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/CommitRuleTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/CommitRuleTest.java
@@ -12,8 +12,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * What a leader of term 3, elected with an entry each of terms 1 and 2 in its log, commits after
- * which acknowledgements; its own first entry is at index 3.
+ * Tests which entries a leader of term 3 commits after which acknowledgements. Its log contains one entry each of terms 1 and 2; the first entry of its own term is at index 3.
  */
 class CommitRuleTest {
   private static final String LEADER = "control-1";
@@ -25,20 +24,20 @@
   static Stream<Arguments> responses() {
     return Stream.of(
         Arguments.of("nothing acknowledged", List.of(), 0L),
-        Arguments.of("an earlier term's entry alone", List.of(ack(VOTER, 2, "disk", true)), 0L),
-        Arguments.of("this term's entry", List.of(ack(VOTER, 3, "disk", true)), 3L),
+        Arguments.of("only an entry of an earlier term", List.of(ack(VOTER, 2, "disk", true)), 0L),
+        Arguments.of("an entry of the current term", List.of(ack(VOTER, 3, "disk", true)), 3L),
         Arguments.of(
             "a member that is not readmitted", List.of(ack(VOTER, 3, "new-disk", false)), 0L),
         Arguments.of(
-            "a late acknowledgement from a lost disk",
+            "a delayed acknowledgement from a lost disk",
             List.of(ack(VOTER, 0, "new-disk", false), ack(VOTER, 3, "disk", true)),
             0L),
         Arguments.of(
-            "the readmission held by the others",
+            "a readmission stored by the other follower",
             List.of(ack(VOTER, 0, "new-disk", false), ack(OTHER, 4, "disk", true)),
             4L),
-        Arguments.of("a refusal", List.of(refusal(VOTER, 3)), 0L),
-        Arguments.of("an older term's answer", List.of(stale(VOTER, 3)), 0L));
+        Arguments.of("a rejection", List.of(refusal(VOTER, 3)), 0L),
+        Arguments.of("a response of an older term", List.of(stale(VOTER, 3)), 0L));
   }
 
   private static Response ack(String from, long matchIndex, String disk, boolean voter) {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ConsensusMemberTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ConsensusMemberTest.java
@@ -14,7 +14,9 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The control group under named faults; every row starts with three accepted changes. */
+/**
+ * Tests the control group under various faults; each case starts with three accepted changes.
+ */
 class ConsensusMemberTest {
 
   static Stream<Arguments> faults() {
@@ -116,7 +118,9 @@
     assertThat(group.change("next", 1), is(new ChangeResult.Accepted(2, false)));
   }
 
-  /** A member that lost its disk must not help to elect a leader without the accepted change. */
+  /**
+   * A member that lost its disk must not vote for a leader that lacks the accepted change.
+   */
   @Test
   void memberWithLostDiskDoesNotVoteBeforeItIsReadmitted() {
     ControlGroup group = new ControlGroup(3, 17);
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ConsensusPropertyTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ConsensusPropertyTest.java
@@ -10,9 +10,7 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Random schedules of kills, restarts, lost disks, cuts and lossy links, with operators racing and
- * resending. {@link ControlGroup} checks agreement at every step; at the end every accepted change
- * must be held by every member, at the version it was accepted with.
+ * Runs random schedules of crashes, restarts, lost disks, partitions and lossy links, with operators that propose concurrently and resend their changes. {@link ControlGroup} checks agreement at every step; at the end, every member must have every accepted change at the version with which it was accepted.
  */
 class ConsensusPropertyTest {
   private static final int STEPS = 60;
@@ -47,7 +45,9 @@
     }
   }
 
-  /** One random fault; disks are lost only while all members run, vote and hold the same. */
+  /**
+   * Injects one random fault; a disk is lost only while all members are running and are voters.
+   */
   private static void disturb(ControlGroup group, Random random, int faultsAllowed) {
     String victim = group.ids().get(random.nextInt(group.ids().size()));
     long down = group.ids().stream().filter(id -> !group.runs(id)).count();
@@ -70,7 +70,7 @@
         }
       }
       default -> {
-        // Calm.
+        // No fault in this step.
       }
     }
   }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ControlGroup.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ControlGroup.java
@@ -10,10 +10,7 @@
 import java.util.Set;
 
 /**
- * A control group whose members exchange messages through a queue that a test orders: messages are
- * delivered late, dropped, repeated or held back by a partition, and members are killed, restarted
- * and robbed of their disks. It checks after each step that no two members commit different entries
- * at an index, that a term has one leader and that no accepted version is replaced.
+ * Simulates a control group whose members exchange messages through a simulated network: messages are delayed, dropped, duplicated or blocked by a partition, and members are killed, restarted or restarted with an empty disk. After each step it checks that no two members commit different entries at the same index, that a term has only one leader and that no accepted version is replaced.
  */
 final class ControlGroup {
   static final ConsensusTiming TIMING = new ConsensusTiming(50, 300, 20);
@@ -59,8 +56,7 @@
   }
 
   /**
-   * A group that its log names: the first members found it, the others stand by and are taken in as
-   * the policy says.
+   * Creates a group whose members are defined by its log: the first instances are the initial members, the others are on standby and are added as the policy specifies.
    */
   ControlGroup(int founders, int standingBy, GroupPolicy groupPolicy, long seed) {
     random = new Random(seed);
@@ -84,7 +80,9 @@
     return ids;
   }
 
-  /** Submits a routing document at a member; the result comes with a later step. */
+  /**
+   * Submits a routing document to a member and returns the proposal's id; the result may follow in a later step.
+   */
   long route(String id, long version) {
     long ticket = nextTicket++;
     routeByTicket.put(ticket, version);
@@ -95,7 +93,9 @@
     return ticket;
   }
 
-  /** Returns the highest routing version that was answered as accepted. */
+  /**
+   * Returns the highest routing version that was reported as accepted.
+   */
   long acceptedRoute() {
     return results.entrySet().stream()
         .filter(r -> r.getValue() instanceof ChangeResult.Accepted)
@@ -121,7 +121,9 @@
     return members.containsKey(id);
   }
 
-  /** Returns whether some member that runs leads. */
+  /**
+   * Returns whether any running member is the leader.
+   */
   boolean hasLeader() {
     return members.values().stream().anyMatch(m -> m.role() == ConsensusMember.Role.LEADER);
   }
@@ -147,7 +149,9 @@
             nowMillis));
   }
 
-  /** Replaces a member's disk by an empty one, as after a disk loss, and restarts it. */
+  /**
+   * Replaces a member's disk by an empty one, as after the loss of a disk, and restarts the member.
+   */
   void wipe(String id) {
     wipes++;
     disks.put(id, new MemoryStorage(id + "-disk-" + wipes, false));
@@ -163,7 +167,9 @@
     lossy(0, 1);
   }
 
-  /** Proposes a change at a member; the result comes with a later step. */
+  /**
+   * Proposes a change to a member and returns the proposal's id; the result may follow in a later step.
+   */
   long propose(String id, String changeId, long expectedVersion) {
     long ticket = nextTicket++;
     changeByTicket.put(ticket, changeId);
@@ -173,7 +179,9 @@
     return ticket;
   }
 
-  /** Every third change is a patch that adds an organisation, the others replace the document. */
+  /**
+   * Returns the change with this id: about one in three is a patch that adds an organisation, the others replace the document.
+   */
   static Command.Change command(String changeId) {
     return changeId.hashCode() % 3 == 0
         ? new Command.PatchChange(changeId, "organisations: [{name: " + changeId + "}]")
@@ -200,7 +208,9 @@
     }
   }
 
-  /** Runs until some member leads with its term's first entry committed; returns it. */
+  /**
+   * Runs until a leader that is not partitioned has committed all its entries, and returns its id.
+   */
   String awaitLeader() {
     for (int i = 0; i < 1_000; i++) {
       run(STEP_MILLIS);
@@ -217,7 +227,9 @@
     throw new AssertionError("no leader within 10 s");
   }
 
-  /** Proposes at the leader and runs until it is decided. */
+  /**
+   * Proposes a change to the leader and runs until the change is decided.
+   */
   ChangeResult change(String changeId, long expectedVersion) {
     long ticket = propose(awaitLeader(), changeId, expectedVersion);
     for (int i = 0; i < 500 && result(ticket).isEmpty(); i++) {
@@ -226,7 +238,9 @@
     return result(ticket).orElseThrow(() -> new AssertionError("undecided: " + changeId));
   }
 
-  /** Every change answered as accepted, by version. */
+  /**
+   * Returns all changes that were reported as accepted, by version.
+   */
   Map<Long, String> acceptedChanges() {
     return changeByVersion;
   }
@@ -264,7 +278,9 @@
     network.add(new InFlight(from, e.to(), e.message(), due));
   }
 
-  /** What a member shows never steps back, over restarts too. */
+  /**
+   * Checks that the version a member exposes never decreases, also across restarts.
+   */
   private void checkShownVersion(String id) {
     ConsensusMember m = members.get(id);
     if (m != null && m.caughtUp()) {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/GroupGrowthTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/GroupGrowthTest.java
@@ -16,7 +16,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** A group whose log names its members: it grows, replaces who is lost, and forgets nothing. */
+/**
+ * Tests a group whose members are defined by the log: it grows to its target size, replaces lost members and loses no accepted document.
+ */
 class GroupGrowthTest {
   private static final GroupPolicy POLICY = new GroupPolicy(5, 600);
 
@@ -47,7 +49,9 @@
     assertThat(group.member(group.awaitLeader()).group(), equalTo(Set.copyOf(group.ids())));
   }
 
-  /** All pairs of members that may lose their disks at once. */
+  /**
+   * Returns all pairs of members that may lose their disks at the same time.
+   */
   static Stream<List<String>> pairs() {
     return IntStream.rangeClosed(1, 5)
         .boxed()
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/GroupStartTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/GroupStartTest.java
@@ -9,12 +9,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** All members start at once, as after a loss of power: how soon one of them leads. */
+/**
+ * Tests how soon a leader is elected after all members start at once, as after a power failure.
+ */
 class GroupStartTest {
   private static final int MEMBERS = 5;
   private static final long STEP_MILLIS = 5;
 
-  /** Turns and round trips until a leader is elected, with members that do not come back. */
+  /**
+   * Returns the cases: the bounds allow for the election slots and round trips until a leader is elected while 0, 1 or 2 members do not restart.
+   */
   static Stream<Row> rows() {
     return IntStream.range(0, 40)
         .boxed()
@@ -22,7 +26,13 @@
             seed -> Stream.of(new Row(seed, 0, 120), new Row(seed, 1, 180), new Row(seed, 2, 240)));
   }
 
-  /** A row: the seed, how many of the first members by name stay away, and the bound. */
+  /**
+   * A test case.
+   *
+   * @param seed seeds the simulation
+   * @param missing how many members, the first in the order of ids, do not restart
+   * @param maxMillis maximum time until there is a leader, in milliseconds
+   */
   record Row(int seed, int missing, long mostMillis) {}
 
   @ParameterizedTest
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/MemoryStorage.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/MemoryStorage.java
@@ -4,7 +4,9 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A {@link LogStorage} in memory; it outlives the member that uses it, as a disk does. */
+/**
+ * A {@link LogStorage} in memory; like a disk, it persists across restarts of the member that uses it.
+ */
 final class MemoryStorage implements LogStorage {
   private HardState hardState;
   private Snapshot snapshot = Snapshot.EMPTY;
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/RoutingStateTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/RoutingStateTest.java
@@ -9,9 +9,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Which evacuations are in force after orders, copies of which arrive late and out of turn. */
+/**
+ * Tests which evacuations are active after a series of orders of which copies arrive late and out of order.
+ */
 class RoutingStateTest {
-  /** An order as the log commits it; the domain is "a" unless it says otherwise. */
+  /**
+   * An evacuation order as committed to the log.
+   *
+   * @param domain the failure domain; "a" unless stated otherwise
+   * @param active true to start the evacuation, false to end it
+   * @param baseRevision the revision that the order is based on
+   */
   record Order(String domain, boolean active, long basisRevision) {
     static Order start(long basis) {
       return new Order("a", true, basis);
@@ -22,7 +30,14 @@
     }
   }
 
-  /** A row: orders in the log's order, and what is evacuated after them at which revision. */
+  /**
+   * A test case.
+   *
+   * @param name the display name
+   * @param orders the orders in the order in which they are committed
+   * @param evacuated the domains evacuated after them
+   * @param revision the revision after them
+   */
   record Row(String name, List<Order> orders, Set<String> evacuated, long revision) {
     @Override
     public String toString() {
@@ -32,23 +47,23 @@
 
   static Stream<Row> rows() {
     return Stream.of(
-        new Row("begun", List.of(Order.start(0)), Set.of("a"), 1),
-        new Row("begun twice", List.of(Order.start(0), Order.start(0)), Set.of("a"), 1),
+        new Row("started", List.of(Order.start(0)), Set.of("a"), 1),
+        new Row("started twice", List.of(Order.start(0), Order.start(0)), Set.of("a"), 1),
         new Row("ended", List.of(Order.start(0), Order.end(1)), Set.of(), 2),
         new Row(
-            "a copy held up by a cut arrives after the end",
+            "a copy delayed by a partition arrives after the end",
             List.of(Order.start(0), Order.end(1), Order.start(0)),
             Set.of(),
             2),
         new Row(
-            "a copy of the end arrives after a second beginning",
+            "a copy of the end arrives after a second start",
             List.of(Order.start(0), Order.end(1), Order.start(2), Order.end(1)),
             Set.of("a"),
             3),
         new Row(
-            "begun again", List.of(Order.start(0), Order.end(1), Order.start(2)), Set.of("a"), 3),
+            "started again", List.of(Order.start(0), Order.end(1), Order.start(2)), Set.of("a"), 3),
         new Row(
-            "another domain's changes do not matter",
+            "changes of another domain have no effect",
             List.of(Order.start(0), Order.end(1), new Order("b", true, 0)),
             Set.of("b"),
             3));
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/SplitVoteTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/SplitVoteTest.java
@@ -14,8 +14,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Elections in which every vote left is needed: two of five members have lost their disks and do
- * not vote, so two candidates in one term split the vote, whoever they are.
+ * Tests elections in which every remaining vote is needed: two of five members are lost, or have lost their disks and cannot vote, so any two candidates in one term split the vote.
  */
 class SplitVoteTest {
   private static final int MEMBERS = 5;
@@ -23,16 +22,24 @@
   private static final int SEEDS = 200;
   private static final long STEP_MILLIS = 10;
 
-  /** One way between regions far apart, in milliseconds at most. */
+  /**
+   * The maximum one-way delay between distant regions.
+   */
   private static final int DELAY_MILLIS = 55;
 
-  /** How far apart processes get ready that are started together, in milliseconds at most. */
+  /**
+   * The maximum difference between the start times of processes that are started together.
+   */
   private static final int START_SPREAD_MILLIS = 250;
 
-  /** Start spread, half a timeout of turns, and two rounds of votes. */
+  /**
+   * The sum of the start spread, half an election timeout of slots, and two rounds of votes.
+   */
   private static final long MOST_START_MILLIS = 1_100;
 
-  /** The longest timeout and two rounds of votes. */
+  /**
+   * The sum of the maximum election timeout and two rounds of votes.
+   */
   private static final long MOST_SUCCESSION_MILLIS = 1_850;
 
   static Stream<Integer> seeds() {
@@ -51,7 +58,9 @@
     assertThat(successionMillis(seed), lessThanOrEqualTo(MOST_SUCCESSION_MILLIS));
   }
 
-  /** Prints how long elections take; a benchmark to run by hand. */
+  /**
+   * Prints the distribution of election times; a benchmark to run manually.
+   */
   public static void main(String[] args) {
     print("start", SplitVoteTest::startMillis);
     print("succession", SplitVoteTest::successionMillis);
@@ -60,11 +69,13 @@
   private static void print(String name, IntFunction<Long> election) {
     List<Long> waits = IntStream.range(0, 1_000).mapToObj(election).sorted().toList();
     System.out.printf(
-        "%s: median %d ms, 9 in 10 %d ms, 99 in 100 %d ms, most %d ms%n",
+        "%s: median %d ms, p90 %d ms, p99 %d ms, max %d ms%n",
         name, waits.get(500), waits.get(900), waits.get(990), waits.get(999));
   }
 
-  /** All members are killed, two disks are lost, and all start again within the spread. */
+  /**
+   * Kills all members, replaces two disks by empty ones, restarts all members within the start spread and returns the time until there is a leader, in milliseconds.
+   */
   private static long startMillis(int seed) {
     Random random = new Random(seed);
     ControlGroup group = startedGroup(seed);
@@ -95,7 +106,9 @@
     }
   }
 
-  /** The leader is killed for good, and one more member besides: three of five are left. */
+  /**
+   * Kills the leader and one more member permanently, so that three of five remain, and returns the time until there is a new leader, in milliseconds.
+   */
   private static long successionMillis(int seed) {
     ControlGroup group = startedGroup(seed);
     String leader = group.awaitLeader();
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/membership/GossipTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/membership/GossipTest.java
@@ -22,7 +22,9 @@
 import org.lacewingcroft.peer.MemberInfo;
 import org.lacewingcroft.peer.PeerMessage;
 
-/** Many daemons gossiping in lockstep, one interval a second, without a network. */
+/**
+ * Tests the gossip of many daemons, simulated in lockstep without a network, with an interval of one second.
+ */
 class GossipTest {
   private static final long FIRST_INCARNATION = 1_790_000_000_000L;
   private static final Duration INTERVAL = Duration.ofSeconds(1);
@@ -47,7 +49,9 @@
     }
   }
 
-  /** Starts a daemon; as in Daemon, its incarnation is of the size of a time in milliseconds. */
+  /**
+   * Starts a daemon; as in production, its incarnation is in the range of a timestamp in milliseconds.
+   */
   private void start(String id, String role, String region, long run) {
     MemberInfo info =
         new MemberInfo(id, role, region, region + "-a", id, id, FIRST_INCARNATION + run);
@@ -103,7 +107,7 @@
         String id = node.info.nodeId();
         int self = node.info.role().equals(MemberInfo.ENTRY) ? 1 : 0;
         assertThat(
-            id + " knows " + node.table.known(MemberInfo.ENTRY, node.info.region()).size(),
+            id + " has members " + node.table.known(MemberInfo.ENTRY, node.info.region()).size(),
             aliveAt(id, node.info.region()).size(),
             is(entriesPerRegion - self));
         assertThat(id, node.table.get("control-1").isPresent() || id.equals("control-1"));
