--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusMember.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusMember.java
@@ -11,28 +11,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One member of the control group, modelled on Raft as a pure state machine: leader election by
- * terms and replication of the configuration log to a quorum, without a clock, thread or socket of
- * its own. A driver passes in the time, the received messages and operators' proposals, and
- * executes the {@link Output} of each step.
+ * One member of the control group, modelled on Raft as a pure state machine: leader election by terms and replication of the configuration log to a quorum, without a clock, thread or socket of its own. A driver passes in the time, the received messages and operators' proposals, and executes the {@link Output} of each step.
  *
  * <p>It adds four safeguards to the basic algorithm:
  *
- * <ul>
- *   <li>A pre-vote prevents a member that was partitioned from the group from forcing an election
- *       when it reconnects.
- *   <li>A leader that receives no responses from a quorum within the maximum election timeout steps
- *       down, so a partitioned leader stops accepting changes.
- *   <li>A member whose data folder is new (a lost disk) neither votes nor counts towards a quorum
- *       until a quorum of the others has committed its {@link Command.StorageRegistration}: the
- *       lost disk may have held votes and acknowledged entries.
- *   <li>An operator's expected version is compared with the version after the last entry, committed
- *       or not, so that of two concurrent changes with the same expected version at most one is
- *       accepted.
- * </ul>
+ * <ul> <li>A pre-vote prevents a member that was partitioned from the group from forcing an election when it reconnects. <li>A leader that receives no responses from a quorum within the maximum election timeout steps down, so a partitioned leader stops accepting changes. <li>A member whose data folder is new (a lost disk) neither votes nor counts towards a quorum until a quorum of the others has committed its {@link Command.StorageRegistration}: the member may have voted or acknowledged entries of which it no longer has a record. <li>An operator's expected version is compared with the version after the last entry, committed or not, so that of two concurrent changes with the same expected version at most one is accepted. </ul>
  *
- * <p>Not thread-safe. Each step writes to the {@link LogStorage} before it returns messages, so
- * everything that a message acknowledges is on disk.
+ * <p>Not thread-safe. Each step writes to the {@link LogStorage} before it returns messages, so everything that a message acknowledges is on disk.
  */
 public final class ConsensusMember {
   private static final int MAX_ENTRIES_PER_MESSAGE = 64;
@@ -64,8 +49,7 @@
   private static final int ELECTION_SLOTS = 6;
 
   /**
-   * Divisor of the election timeout: the fraction by which a member defers its own election after
-   * it grants a pre-vote.
+   * Divisor of the election timeout that gives the time by which a member defers its own election after it grants a pre-vote.
    */
   private static final int ELECTION_DEFERRAL_DIVISOR = 4;
 
@@ -125,13 +109,7 @@
   }
 
   /**
-   * Returns the delay before the first election of a member that has just started. A live leader
-   * would contact it within a heartbeat interval; after a restart of the whole group there is no
-   * leader, and waiting only prolongs the outage. The members therefore start their elections in
-   * the order of their ids, each after the previous one could have won. With a timeout of 800 ms,
-   * the first of five members starts its election after 100 ms on average; with a delay drawn at
-   * random between a quarter of the timeout and the whole timeout, it started after 300 ms on
-   * average.
+   * Returns the delay before the first election of a member that has just started. A live leader would contact it within a heartbeat interval; after a restart of the whole group there is no leader, and waiting only prolongs the outage. The members therefore start their elections in the order of their ids, each after the previous one could have won. With a timeout of 800 ms, the first of five members starts its election after 100 ms on average; with a delay drawn at random between a quarter of the timeout and the whole timeout, it would do so after 300 ms on average.
    */
   private long firstElectionDelayMillis() {
     long slotMillis = timing.electionTimeoutMillis() / ELECTION_SLOTS;
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ControlGroup.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ControlGroup.java
@@ -10,11 +10,7 @@
 import java.util.Set;
 
 /**
- * Simulates a control group whose members exchange messages through a simulated network: messages
- * are delayed, dropped, duplicated or blocked by a partition, and members are killed, restarted or
- * restarted with an empty disk. After each step it checks that no two members commit different
- * entries at the same index, that a term has only one leader and that no accepted version is
- * replaced.
+ * Simulates a control group whose members exchange messages through a queue that the test controls: messages are delayed, dropped, duplicated or blocked by a partition, and members are killed, restarted or restarted with an empty disk. After each step it checks that no two members commit different entries at the same index, that a term has only one leader and that no accepted version is replaced.
  */
 final class ControlGroup {
   static final ConsensusTiming TIMING = new ConsensusTiming(50, 300, 20);
@@ -284,7 +280,7 @@
     if (m != null && m.caughtUp()) {
       long before = exposedVersion.getOrDefault(id, 0L);
       if (m.state().version() < before) {
-        throw new AssertionError(id + " shows " + m.state().version() + " after " + before);
+        throw new AssertionError(id + " exposes " + m.state().version() + " after " + before);
       }
       exposedVersion.put(id, m.state().version());
     }
