--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusMember.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusMember.java
@@ -392,7 +392,7 @@
     leader = newLeader;
     votes.clear();
     followers.clear();
-    pendingProposals.forEach(w -> out.decide(w.proposalId(), new ChangeResult.Unknown()));
+    pendingProposals.forEach(proposal -> out.decide(proposal.proposalId(), new ChangeResult.Unknown()));
     pendingProposals.clear();
   }
 
@@ -432,7 +432,7 @@
 
   private void onVoteRequest(
       String from, ConsensusMessage.VoteRequest request, long nowMillis, Output out) {
-    boolean eligible = hardState.voter() && log.isUpToDate(request.lastTerm(), request.lastIndex());
+    boolean eligible = hardState.voter() && log.isCandidateUpToDate(request.lastTerm(), request.lastIndex());
     if (request.preVote()) {
       boolean granted = eligible && request.term() > hardState.term();
       long term = granted ? request.term() : hardState.term();
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ReplicatedLog.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ReplicatedLog.java
@@ -119,7 +119,7 @@
   /**
    * Returns whether a candidate's log, whose last entry has this term and index, is at least as up to date as this log.
    */
-  boolean isUpToDate(long otherLastTerm, long otherLastIndex) {
+  boolean isCandidateUpToDate(long otherLastTerm, long otherLastIndex) {
     return otherLastTerm > lastTerm()
         || otherLastTerm == lastTerm() && otherLastIndex >= lastIndex();
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/MemberTable.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/MemberTable.java
@@ -73,13 +73,13 @@
     Map<String, Member> members = new HashMap<>(byId);
     final Map<String, RegionDigest> digests = new HashMap<>(digestByOriginator);
     Map<String, Liveness> heartbeats = new HashMap<>();
-    gossip.signs().forEach(s -> heartbeats.put(s.nodeId(), s));
+    gossip.signs().forEach(heartbeat -> heartbeats.put(heartbeat.nodeId(), heartbeat));
     applyIntroduction(gossip.sender(), heartbeats, members, now);
     gossip.introductions().forEach(i -> applyIntroduction(i, heartbeats, members, now));
-    heartbeats.values().forEach(s -> applyHeartbeat(s, members, now));
+    heartbeats.values().forEach(heartbeat -> applyHeartbeat(heartbeat, members, now));
     gossip.digests().forEach(d -> applyDigest(d, digests, members, now));
     recordRemoteSender(gossip.sender(), heartbeats, members, now);
-    boolean unknownMembers = heartbeats.values().stream().anyMatch(s -> isUnknown(s, members));
+    boolean unknownMembers = heartbeats.values().stream().anyMatch(heartbeat -> isUnknown(heartbeat, members));
     return new MemberTable(self, interval, members, tombstones, digests, unknownMembers);
   }
 
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ConsensusMemberTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ConsensusMemberTest.java
@@ -125,15 +125,15 @@
     ControlGroup group = new ControlGroup(3, 17);
     String leader = group.awaitLeader();
     String stale = follower(group, 0);
-    final String wiped = follower(group, 1);
+    final String memberWithNewDisk = follower(group, 1);
     group.partition(stale);
     assertThat(group.change("accepted", 0), is(new ChangeResult.Accepted(1, false)));
     group.kill(leader);
-    group.loseDisk(wiped);
+    group.loseDisk(memberWithNewDisk);
     group.heal();
     group.run(10_000);
     assertThat(group.member(stale).role(), is(not(ConsensusMember.Role.LEADER)));
-    assertThat(group.member(wiped).voter(), is(false));
+    assertThat(group.member(memberWithNewDisk).voter(), is(false));
     group.restart(leader);
     assertThat(group.change("next", 1), is(new ChangeResult.Accepted(2, false)));
   }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ConsensusPropertyTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ConsensusPropertyTest.java
@@ -64,9 +64,9 @@
       case 4 -> group.setLossAndDelay(random.nextDouble() * 0.4, 1 + random.nextInt(150));
       case 5 -> group.ids().forEach(group::restart);
       case 6 -> {
-        boolean allVote =
+        boolean allVoters =
             group.ids().stream().allMatch(id -> group.isRunning(id) && group.member(id).voter());
-        if (allVote) {
+        if (allVoters) {
           group.loseDisk(victim);
         }
       }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/membership/GossipTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/membership/GossipTest.java
@@ -54,9 +54,9 @@
    * Starts a daemon; as in production, its incarnation is in the range of a timestamp in
    * milliseconds.
    */
-  private void start(String id, String role, String region, long incarnation) {
+  private void start(String id, String role, String region, long incarnationOffset) {
     MemberInfo info =
-        new MemberInfo(id, role, region, region + "-a", id, id, FIRST_INCARNATION + incarnation);
+        new MemberInfo(id, role, region, region + "-a", id, id, FIRST_INCARNATION + incarnationOffset);
     nodes.put(id, new Node(info, List.of("control-1"), random.nextLong()));
   }
 
@@ -115,11 +115,11 @@
         assertThat(id, node.table.get("control-1").isPresent() || id.equals("control-1"));
       }
     }
-    Set<String> regionsKnown =
+    Set<String> knownRegions =
         nodes.get("entry-0-0").table.all().stream()
             .map(m -> m.info().region())
             .collect(Collectors.toSet());
-    assertThat(regionsKnown.size(), is(regions));
+    assertThat(knownRegions.size(), is(regions));
   }
 
   @ParameterizedTest
