--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Gossiper.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Gossiper.java
@@ -14,17 +14,9 @@
 import org.lacewingcroft.peer.PeerMessage;
 
 /**
- * Selects, for each gossip interval, the daemons to which one daemon sends gossip and the content
- * of the messages.
+ * Selects, for each gossip interval, the daemons to which one daemon sends gossip and the content of the messages.
  *
- * <p>Within its region a daemon sends to {@link #FANOUT} members; a heartbeat reaches all of them
- * in about log(n) intervals, so the cost per daemon does not grow with the size of the region.
- * Between regions only the {@link #DELEGATES} of a region send: in each interval, each sends a
- * digest of its own region to {@link #REGION_FANOUT} other regions, and members relay the digests
- * of the others that they have received. Recently started members are introduced with their full
- * description for some intervals; for all others a random sample of the latest heartbeats is sent.
- * Seeds are contacted while no member of the region is known and at regular intervals after that,
- * so that partitions of the membership that lost contact merge again.
+ * <p>Within its region a daemon sends to {@link #FANOUT} members; a heartbeat reaches all of them in about log(n) intervals, so the cost per daemon does not grow with the size of the region. Between regions only the {@link #DELEGATES} of a region send: in each interval, each sends a digest of its own region to {@link #REGION_FANOUT} other regions, and members relay the digests of the others that they have received. The {@link MemberInfo} of recently started members is sent for some intervals; of all others, the latest heartbeats of a random sample are sent. Seeds are contacted while no member of the region is known and at regular intervals after that, so that partitions of the membership that lost contact merge again.
  */
 public final class Gossiper {
   /** Maximum number of members of the own region that receive gossip in an interval. */
@@ -125,7 +117,7 @@
   /**
    * Responds to a daemon that requests members of its region with a sample of those known here.
    *
-   * @return the response, or empty if the message requests no members or none are known
+   * @return the response, or empty if the message requests no reply or no members are known
    */
   public Optional<Outgoing> answer(
       PeerMessage.Gossip request, long configVersion, MemberTable table) {
@@ -236,8 +228,7 @@
   }
 
   /**
-   * Returns the recently started members, or all members if this daemon has recently started, and
-   * in some intervals one other member at random.
+   * Returns the descriptions of the recently started members, or of all members if this daemon has recently started, and in some intervals of one other member at random.
    */
   private List<MemberInfo> introductions(List<Member> trackedMembers) {
     List<MemberInfo> infos = new ArrayList<>();
