--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Gossiper.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Gossiper.java
@@ -28,11 +28,11 @@
   /** Number of entries of a region that send its digests to other regions. */
   public static final int DELEGATES = 2;
 
-  private static final int INTRODUCTION_ROUNDS = 8;
+  private static final int NEW_MEMBER_ROUNDS = 8;
   private static final int ROUNDS_PER_SEED_CONTACT = 8;
   private static final int MAX_MEMBERS_PER_RESPONSE = 4;
   private static final int HEARTBEAT_SAMPLE_SIZE = 20;
-  private static final int ROUNDS_PER_RANDOM_INTRODUCTION = 4;
+  private static final int ROUNDS_PER_RANDOM_MEMBER_INFO = 4;
 
   private final MemberInfo self;
   private final List<String> seeds;
@@ -84,15 +84,15 @@
       ownDigest = Optional.of(ownDigest(report, table, now));
       otherRegionReceivers(table, now).forEach(m -> receivers.add(m.info().peerAddress()));
     }
-    Set<String> pullAddresses = new LinkedHashSet<>();
+    Set<String> replyAddresses = new LinkedHashSet<>();
     boolean isolated = trackedMembers.stream().noneMatch(this::isInRegion);
     if (!seeds.isEmpty() && (isolated || heartbeatCounter % ROUNDS_PER_SEED_CONTACT == 0)) {
-      pullAddresses.add(seeds.get(random.nextInt(seeds.size())));
+      replyAddresses.add(seeds.get(random.nextInt(seeds.size())));
     }
     if (table.hasUnknownMembers()) {
-      pullAddresses.addAll(receivers);
+      replyAddresses.addAll(receivers);
     }
-    receivers.addAll(pullAddresses);
+    receivers.addAll(replyAddresses);
     receivers.remove(self.peerAddress());
     List<Outgoing> outgoing = new ArrayList<>();
     for (String address : receivers) {
@@ -105,7 +105,7 @@
       Optional<RegionDigest> digest = inRegion ? relayedDigest : ownDigest.or(() -> relayedDigest);
       outgoing.add(
           new Outgoing(
-              address, message(report, trackedMembers, digest, pullAddresses.contains(address))));
+              address, message(report, trackedMembers, digest, replyAddresses.contains(address))));
     }
     return outgoing;
   }
@@ -209,41 +209,41 @@
       SelfReport report,
       List<Member> trackedMembers,
       Optional<RegionDigest> digest,
-      boolean requestsMembers) {
-    List<MemberInfo> introductions = introductions(trackedMembers);
+      boolean replyRequested) {
+    List<MemberInfo> memberInfos = memberInfos(trackedMembers);
     List<Liveness> heartbeats = new ArrayList<>();
     heartbeats.add(
         new Liveness(self.nodeId(), self.incarnation(), heartbeatCounter, report.leaving()));
     pick(trackedMembers, HEARTBEAT_SAMPLE_SIZE).forEach(m -> heartbeats.add(m.heartbeat()));
     trackedMembers.stream()
-        .filter(m -> introductions.contains(m.info()) && !heartbeats.contains(m.heartbeat()))
+        .filter(m -> memberInfos.contains(m.info()) && !heartbeats.contains(m.heartbeat()))
         .forEach(m -> heartbeats.add(m.heartbeat()));
     return new PeerMessage.Gossip(
         self,
         report.configVersion(),
         heartbeats,
-        introductions,
+        memberInfos,
         digest.stream().toList(),
-        requestsMembers);
+        replyRequested);
   }
 
   /**
    * Returns the descriptions of the recently started members, or of all members if this daemon has recently started, and in some intervals of one other member at random.
    */
-  private List<MemberInfo> introductions(List<Member> trackedMembers) {
+  private List<MemberInfo> memberInfos(List<Member> trackedMembers) {
     List<MemberInfo> infos = new ArrayList<>();
     trackedMembers.stream()
         .filter(
             m ->
-                m.heartbeat().counter() <= INTRODUCTION_ROUNDS
-                    || heartbeatCounter <= INTRODUCTION_ROUNDS)
+                m.heartbeat().counter() <= NEW_MEMBER_ROUNDS
+                    || heartbeatCounter <= NEW_MEMBER_ROUNDS)
         .sorted(Comparator.comparingLong((Member m) -> m.heartbeat().counter()))
         .map(Member::info)
         .forEach(infos::add);
     trackedMembers.stream()
         .skip(trackedMembers.isEmpty() ? 0 : random.nextInt(trackedMembers.size()))
         .findFirst()
-        .filter(m -> heartbeatCounter % ROUNDS_PER_RANDOM_INTRODUCTION == 0)
+        .filter(m -> heartbeatCounter % ROUNDS_PER_RANDOM_MEMBER_INFO == 0)
         .map(Member::info)
         .filter(m -> !infos.contains(m))
         .ifPresent(infos::add);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/MemberTable.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/MemberTable.java
@@ -74,8 +74,8 @@
     final Map<String, RegionDigest> digests = new HashMap<>(digestByOriginator);
     Map<String, Liveness> heartbeats = new HashMap<>();
     gossip.signs().forEach(heartbeat -> heartbeats.put(heartbeat.nodeId(), heartbeat));
-    applyIntroduction(gossip.sender(), heartbeats, members, now);
-    gossip.introductions().forEach(i -> applyIntroduction(i, heartbeats, members, now));
+    applyMemberInfo(gossip.sender(), heartbeats, members, now);
+    gossip.introductions().forEach(i -> applyMemberInfo(i, heartbeats, members, now));
     heartbeats.values().forEach(heartbeat -> applyHeartbeat(heartbeat, members, now));
     gossip.digests().forEach(d -> applyDigest(d, digests, members, now));
     recordRemoteSender(gossip.sender(), heartbeats, members, now);
@@ -125,7 +125,7 @@
     members.put(sender.nodeId(), new Member(sender, heartbeat, now, freeSlots));
   }
 
-  private void applyIntroduction(
+  private void applyMemberInfo(
       MemberInfo info, Map<String, Liveness> heartbeats, Map<String, Member> members, Instant now) {
     Liveness heartbeat = heartbeats.get(info.nodeId());
     if (heartbeat == null || info.nodeId().equals(self.nodeId()) || !tracks(info)) {
