--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
@@ -19,7 +19,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
-import org.lacewingcroft.config.ConfigLearning;
+import org.lacewingcroft.config.ConfigReceiver;
 import org.lacewingcroft.config.ConfigStore;
 import org.lacewingcroft.control.ControlService;
 import org.lacewingcroft.error.ErrorKind;
@@ -55,7 +55,7 @@
   private final Vertx vertx;
   private final GatewayMetrics metrics = new GatewayMetrics();
   private final ConfigStore configs = new ConfigStore();
-  private final ConfigLearning learning;
+  private final ConfigReceiver learning;
   private final EndpointRegistry endpoints;
   private final PeerTransport transport;
   private volatile Membership membership;
@@ -70,7 +70,7 @@
     this.settings = settings;
     this.vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(4));
     configs.onApplied(this::spreadVersion);
-    this.learning = new ConfigLearning(configs, settings.heartbeatInterval().multipliedBy(3));
+    this.learning = new ConfigReceiver(configs, settings.heartbeatInterval().multipliedBy(3));
     this.endpoints = new EndpointRegistry(clock, settings.endpointLease());
     this.transport = new PeerTransport(vertx, new FrameCodec(settings.secret()));
   }
@@ -269,11 +269,11 @@
 
   /** Asks a peer for its configuration if it is newer than what this entry was offered. */
   private void newerVersionAt(String peerAddress, long version) {
-    if (settings.role() == Role.ENTRY && learning.heard(version, clock.instant())) {
+    if (settings.role() == Role.ENTRY && learning.onReportedVersion(version, clock.instant())) {
       transport.send(
           peerAddress,
           new PeerMessage.ConfigRequest(
-              learning.highestOffered(), membership.self().peerAddress()));
+              learning.highestOfferedVersion(), membership.self().peerAddress()));
     }
   }
 
@@ -302,11 +302,11 @@
       newerVersionAt(notice.replyTo(), notice.version());
     } else if (message instanceof PeerMessage.ConfigOffer offer) {
       if (settings.role() == Role.ENTRY) {
-        learning.offered(offer.version(), offer.document(), clock.instant());
+        learning.onOffer(offer.version(), offer.document(), clock.instant());
       }
     } else if (message instanceof PeerMessage.ConfigPatches offer) {
       if (settings.role() == Role.ENTRY) {
-        learning.offeredPatches(offer.baseVersion(), offer.patches());
+        learning.onPatches(offer.baseVersion(), offer.patches());
       }
     } else if (message instanceof PeerMessage.ConfigRequest request) {
       answerConfigRequest(request);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/ConfigLearning.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/ConfigReceiver.java
@@ -15,7 +15,7 @@
  * the best offer is no older than any reported version. A peer may report a version and then become
  * unreachable, so the wait is bounded.
  */
-public final class ConfigLearning {
+public final class ConfigReceiver {
   private static final int MAX_SETTLING_TIMES = 5;
 
   private record Offer(long version, String document) {}
@@ -33,7 +33,7 @@
    * @param settlingTime the minimum time between the first report of a peer and the first
    *     activation
    */
-  public ConfigLearning(ConfigStore configs, Duration settlingTime) {
+  public ConfigReceiver(ConfigStore configs, Duration settlingTime) {
     this.configs = configs;
     this.settlingTime = settlingTime;
   }
@@ -44,17 +44,17 @@
    * @return whether it is newer than the highest version offered or active, so that it should be
    *     requested
    */
-  public synchronized boolean heard(long version, Instant now) {
+  public synchronized boolean onReportedVersion(long version, Instant now) {
     if (firstReportAt.isEmpty()) {
       firstReportAt = Optional.of(now);
     }
     highestReportedVersion = Math.max(highestReportedVersion, version);
-    return version > highestOffered();
+    return version > highestOfferedVersion();
   }
 
   /** Handles a version that a peer offers. */
-  public synchronized void offered(long version, String document, Instant now) {
-    if (version > highestOffered()) {
+  public synchronized void onOffer(long version, String document, Instant now) {
+    if (version > highestOfferedVersion()) {
       bestOffer = Optional.of(new Offer(version, document));
     }
     tick(now);
@@ -64,14 +64,14 @@
    * Handles patches that a peer offers; they are ignored while this daemon has no active version to
    * apply them to.
    */
-  public synchronized void offeredPatches(long baseVersion, List<String> patches) {
+  public synchronized void onPatches(long baseVersion, List<String> patches) {
     if (configs.current().version() > 0) {
       configs.offerPatches(baseVersion, patches.stream().map(ConfigPatch::parse).toList());
     }
   }
 
   /** Returns the highest version offered or active. */
-  public synchronized long highestOffered() {
+  public synchronized long highestOfferedVersion() {
     return Math.max(configs.current().version(), bestOffer.map(Offer::version).orElse(0L));
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/Command.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/Command.java
@@ -77,7 +77,7 @@
    * @param baseRevision the {@link RoutingState#revision} at the instance where the operator gave
    *     the order; the command has no effect if the domain's evacuation has changed since
    */
-  record EvacuationChange(String failureDomain, boolean active, long basisRevision)
+  record EvacuationChange(String failureDomain, boolean active, long baseRevision)
       implements Command {}
 
   /**
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConfigState.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConfigState.java
@@ -82,7 +82,7 @@
     }
     if (entry.command() instanceof Command.EvacuationChange change) {
       return withRouting(
-          routing.withEvacuation(change.failureDomain(), change.active(), change.basisRevision()));
+          routing.withEvacuation(change.failureDomain(), change.active(), change.baseRevision()));
     }
     if (entry.command() instanceof Command.GroupChange change) {
       return withMembers(change.members());
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusMember.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusMember.java
@@ -11,13 +11,28 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One member of the control group, modelled on Raft as a pure state machine: leader election by terms and replication of the configuration log to a quorum, without a clock, thread or socket of its own. A driver passes in the time, the received messages and operators' proposals, and executes the {@link Output} of each step.
+ * One member of the control group, modelled on Raft as a pure state machine: leader election by
+ * terms and replication of the configuration log to a quorum, without a clock, thread or socket of
+ * its own. A driver passes in the time, the received messages and operators' proposals, and
+ * executes the {@link Output} of each step.
  *
  * <p>It adds four safeguards to the basic algorithm:
  *
- * <ul> <li>A pre-vote prevents a member that was partitioned from the group from forcing an election when it reconnects. <li>A leader that receives no responses from a quorum within the maximum election timeout steps down, so a partitioned leader stops accepting changes. <li>A member whose data folder is new (a lost disk) neither votes nor counts towards a quorum until a quorum of the others has committed its {@link Command.StorageRegistration}: the member may have voted or acknowledged entries of which it no longer has a record. <li>An operator's expected version is compared with the version after the last entry, committed or not, so that of two concurrent changes with the same expected version at most one is accepted. </ul>
+ * <ul>
+ *   <li>A pre-vote prevents a member that was partitioned from the group from forcing an election
+ *       when it reconnects.
+ *   <li>A leader that receives no responses from a quorum within the maximum election timeout steps
+ *       down, so a partitioned leader stops accepting changes.
+ *   <li>A member whose data folder is new (a lost disk) neither votes nor counts towards a quorum
+ *       until a quorum of the others has committed its {@link Command.StorageRegistration}: the
+ *       member may have voted or acknowledged entries of which it no longer has a record.
+ *   <li>An operator's expected version is compared with the version after the last entry, committed
+ *       or not, so that of two concurrent changes with the same expected version at most one is
+ *       accepted.
+ * </ul>
  *
- * <p>Not thread-safe. Each step writes to the {@link LogStorage} before it returns messages, so everything that a message acknowledges is on disk.
+ * <p>Not thread-safe. Each step writes to the {@link LogStorage} before it returns messages, so
+ * everything that a message acknowledges is on disk.
  */
 public final class ConsensusMember {
   private static final int MAX_ENTRIES_PER_MESSAGE = 64;
@@ -49,7 +64,8 @@
   private static final int ELECTION_SLOTS = 6;
 
   /**
-   * Divisor of the election timeout that gives the time by which a member defers its own election after it grants a pre-vote.
+   * Divisor of the election timeout that gives the time by which a member defers its own election
+   * after it grants a pre-vote.
    */
   private static final int ELECTION_DEFERRAL_DIVISOR = 4;
 
@@ -109,7 +125,13 @@
   }
 
   /**
-   * Returns the delay before the first election of a member that has just started. A live leader would contact it within a heartbeat interval; after a restart of the whole group there is no leader, and waiting only prolongs the outage. The members therefore start their elections in the order of their ids, each after the previous one could have won. With a timeout of 800 ms, the first of five members starts its election after 100 ms on average; with a delay drawn at random between a quarter of the timeout and the whole timeout, it would do so after 300 ms on average.
+   * Returns the delay before the first election of a member that has just started. A live leader
+   * would contact it within a heartbeat interval; after a restart of the whole group there is no
+   * leader, and waiting only prolongs the outage. The members therefore start their elections in
+   * the order of their ids, each after the previous one could have won. With a timeout of 800 ms,
+   * the first of five members starts its election after 100 ms on average; with a delay drawn at
+   * random between a quarter of the timeout and the whole timeout, it would do so after 300 ms on
+   * average.
    */
   private long firstElectionDelayMillis() {
     long slotMillis = timing.electionTimeoutMillis() / ELECTION_SLOTS;
@@ -275,7 +297,7 @@
   /**
    * Starts replication to an instance that is not yet a member (a learner), if this member leads.
    */
-  public Output admit(String learner, long nowMillis) {
+  public Output addLearner(String learner, long nowMillis) {
     Output out = new Output();
     if (role == Role.LEADER && !learner.equals(id) && !followers.containsKey(learner)) {
       Progress p = new Progress(log.lastIndex() + 1, nowMillis);
@@ -392,7 +414,8 @@
     leader = newLeader;
     votes.clear();
     followers.clear();
-    pendingProposals.forEach(proposal -> out.decide(proposal.proposalId(), new ChangeResult.Unknown()));
+    pendingProposals.forEach(
+        proposal -> out.decide(proposal.proposalId(), new ChangeResult.Unknown()));
     pendingProposals.clear();
   }
 
@@ -432,7 +455,8 @@
 
   private void onVoteRequest(
       String from, ConsensusMessage.VoteRequest request, long nowMillis, Output out) {
-    boolean eligible = hardState.voter() && log.isCandidateUpToDate(request.lastTerm(), request.lastIndex());
+    boolean eligible =
+        hardState.voter() && log.isCandidateUpToDate(request.lastTerm(), request.lastIndex());
     if (request.preVote()) {
       boolean granted = eligible && request.term() > hardState.term();
       long term = granted ? request.term() : hardState.term();
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/Output.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/Output.java
@@ -26,7 +26,7 @@
    * @param proposalId the id that the driver passed with the proposal
    * @param result the outcome
    */
-  public record Decision(long ticket, ChangeResult result) {}
+  public record Decision(long proposalId, ChangeResult result) {}
 
   void send(String to, ConsensusMessage message) {
     messages.add(new Envelope(to, message));
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ReplicatedLog.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ReplicatedLog.java
@@ -117,7 +117,8 @@
   }
 
   /**
-   * Returns whether a candidate's log, whose last entry has this term and index, is at least as up to date as this log.
+   * Returns whether a candidate's log, whose last entry has this term and index, is at least as up
+   * to date as this log.
    */
   boolean isCandidateUpToDate(long otherLastTerm, long otherLastIndex) {
     return otherLastTerm > lastTerm()
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Gossiper.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Gossiper.java
@@ -14,9 +14,17 @@
 import org.lacewingcroft.peer.PeerMessage;
 
 /**
- * Selects, for each gossip interval, the daemons to which one daemon sends gossip and the content of the messages.
+ * Selects, for each gossip interval, the daemons to which one daemon sends gossip and the content
+ * of the messages.
  *
- * <p>Within its region a daemon sends to {@link #FANOUT} members; a heartbeat reaches all of them in about log(n) intervals, so the cost per daemon does not grow with the size of the region. Between regions only the {@link #DELEGATES} of a region send: in each interval, each sends a digest of its own region to {@link #REGION_FANOUT} other regions, and members relay the digests of the others that they have received. The {@link MemberInfo} of recently started members is sent for some intervals; of all others, the latest heartbeats of a random sample are sent. Seeds are contacted while no member of the region is known and at regular intervals after that, so that partitions of the membership that lost contact merge again.
+ * <p>Within its region a daemon sends to {@link #FANOUT} members; a heartbeat reaches all of them
+ * in about log(n) intervals, so the cost per daemon does not grow with the size of the region.
+ * Between regions only the {@link #DELEGATES} of a region send: in each interval, each sends a
+ * digest of its own region to {@link #REGION_FANOUT} other regions, and members relay the digests
+ * of the others that they have received. The {@link MemberInfo} of recently started members is sent
+ * for some intervals; of all others, the latest heartbeats of a random sample are sent. Seeds are
+ * contacted while no member of the region is known and at regular intervals after that, so that
+ * partitions of the membership that lost contact merge again.
  */
 public final class Gossiper {
   /** Maximum number of members of the own region that receive gossip in an interval. */
@@ -56,7 +64,7 @@
    * @param freeSlotsByModel its region's free capacity by model, in request slots
    */
   public record SelfReport(
-      boolean leaving, long configVersion, Map<String, Integer> freeSlotsByModel) {}
+      boolean draining, long configVersion, Map<String, Integer> freeSlotsByModel) {}
 
   /**
    * Creates the gossiper of one daemon.
@@ -73,10 +81,10 @@
   }
 
   /** Returns the messages to send in this interval. */
-  public List<Outgoing> round(SelfReport report, MemberTable table, Instant now) {
+  public List<Outgoing> nextMessages(SelfReport report, MemberTable table, Instant now) {
     heartbeatCounter++;
     Set<String> receivers = new LinkedHashSet<>();
-    List<Member> trackedMembers = table.followed();
+    List<Member> trackedMembers = table.trackedMembers();
     regionReceivers(trackedMembers).forEach(m -> receivers.add(m.info().peerAddress()));
     final List<RegionDigest> otherDigests = new ArrayList<>(table.digests());
     Optional<RegionDigest> ownDigest = Optional.empty();
@@ -119,7 +127,7 @@
    *
    * @return the response, or empty if the message requests no reply or no members are known
    */
-  public Optional<Outgoing> answer(
+  public Optional<Outgoing> respond(
       PeerMessage.Gossip request, long configVersion, MemberTable table) {
     MemberInfo requester = request.sender();
     List<Member> members =
@@ -132,8 +140,8 @@
     if (!request.asking() || members.isEmpty()) {
       return Optional.empty();
     }
-    List<Liveness> heartbeats = new ArrayList<>();
-    heartbeats.add(new Liveness(self.nodeId(), self.incarnation(), heartbeatCounter, false));
+    List<Heartbeat> heartbeats = new ArrayList<>();
+    heartbeats.add(new Heartbeat(self.nodeId(), self.incarnation(), heartbeatCounter, false));
     members.forEach(m -> heartbeats.add(m.heartbeat()));
     List<MemberInfo> infos = members.stream().map(Member::info).toList();
     return Optional.of(
@@ -193,7 +201,7 @@
 
   private RegionDigest ownDigest(SelfReport report, MemberTable table, Instant now) {
     List<MemberInfo> contacts = new ArrayList<>();
-    if (!report.leaving()) {
+    if (!report.draining()) {
       contacts.add(self);
     }
     pick(table.alive(MemberInfo.ENTRY, self.region(), now), RegionDigest.MAX_CONTACTS).stream()
@@ -211,9 +219,9 @@
       Optional<RegionDigest> digest,
       boolean replyRequested) {
     List<MemberInfo> memberInfos = memberInfos(trackedMembers);
-    List<Liveness> heartbeats = new ArrayList<>();
+    List<Heartbeat> heartbeats = new ArrayList<>();
     heartbeats.add(
-        new Liveness(self.nodeId(), self.incarnation(), heartbeatCounter, report.leaving()));
+        new Heartbeat(self.nodeId(), self.incarnation(), heartbeatCounter, report.draining()));
     pick(trackedMembers, HEARTBEAT_SAMPLE_SIZE).forEach(m -> heartbeats.add(m.heartbeat()));
     trackedMembers.stream()
         .filter(m -> memberInfos.contains(m.info()) && !heartbeats.contains(m.heartbeat()))
@@ -228,7 +236,8 @@
   }
 
   /**
-   * Returns the descriptions of the recently started members, or of all members if this daemon has recently started, and in some intervals of one other member at random.
+   * Returns the descriptions of the recently started members, or of all members if this daemon has
+   * recently started, and in some intervals of one other member at random.
    */
   private List<MemberInfo> memberInfos(List<Member> trackedMembers) {
     List<MemberInfo> infos = new ArrayList<>();
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Liveness.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Heartbeat.java
@@ -8,10 +8,10 @@
  * @param counter incremented by the daemon in every gossip interval
  * @param draining whether it is shutting down and accepts no new requests
  */
-public record Liveness(String nodeId, long incarnation, long counter, boolean leaving) {
+public record Heartbeat(String nodeId, long incarnation, long counter, boolean draining) {
 
   /** Returns whether this heartbeat is newer than the other. */
-  boolean newerThan(Liveness other) {
+  boolean newerThan(Heartbeat other) {
     return incarnation > other.incarnation
         || incarnation == other.incarnation && counter > other.counter;
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Member.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Member.java
@@ -15,7 +15,7 @@
  */
 public record Member(
     MemberInfo info,
-    Liveness heartbeat,
+    Heartbeat heartbeat,
     Instant lastSeenAt,
     Map<String, Integer> freeSlotsByModel) {
 
@@ -26,6 +26,6 @@
 
   /** Returns whether the daemon is draining: it is shutting down and accepts no new requests. */
   public boolean draining() {
-    return heartbeat.leaving();
+    return heartbeat.draining();
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/MemberTable.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/MemberTable.java
@@ -32,7 +32,7 @@
 
   private static final int TOMBSTONE_TTL_SUSPICION_TIMEOUTS = 20;
 
-  private record Tombstone(Liveness heartbeat, Instant expiresAt) {}
+  private record Tombstone(Heartbeat heartbeat, Instant expiresAt) {}
 
   private final MemberInfo self;
   private final Duration interval;
@@ -69,21 +69,22 @@
   }
 
   /** Returns the table updated by a gossip message. */
-  public MemberTable heard(PeerMessage.Gossip gossip, Instant now) {
+  public MemberTable withGossip(PeerMessage.Gossip gossip, Instant now) {
     Map<String, Member> members = new HashMap<>(byId);
     final Map<String, RegionDigest> digests = new HashMap<>(digestByOriginator);
-    Map<String, Liveness> heartbeats = new HashMap<>();
+    Map<String, Heartbeat> heartbeats = new HashMap<>();
     gossip.signs().forEach(heartbeat -> heartbeats.put(heartbeat.nodeId(), heartbeat));
     applyMemberInfo(gossip.sender(), heartbeats, members, now);
     gossip.introductions().forEach(i -> applyMemberInfo(i, heartbeats, members, now));
     heartbeats.values().forEach(heartbeat -> applyHeartbeat(heartbeat, members, now));
     gossip.digests().forEach(d -> applyDigest(d, digests, members, now));
     recordRemoteSender(gossip.sender(), heartbeats, members, now);
-    boolean unknownMembers = heartbeats.values().stream().anyMatch(heartbeat -> isUnknown(heartbeat, members));
+    boolean unknownMembers =
+        heartbeats.values().stream().anyMatch(heartbeat -> isUnknown(heartbeat, members));
     return new MemberTable(self, interval, members, tombstones, digests, unknownMembers);
   }
 
-  private boolean isUnknown(Liveness heartbeat, Map<String, Member> members) {
+  private boolean isUnknown(Heartbeat heartbeat, Map<String, Member> members) {
     Tombstone tombstone = tombstones.get(heartbeat.nodeId());
     boolean tombstoned = tombstone != null && !heartbeat.newerThan(tombstone.heartbeat());
     return !members.containsKey(heartbeat.nodeId())
@@ -109,11 +110,11 @@
    */
   private void recordRemoteSender(
       MemberInfo sender,
-      Map<String, Liveness> heartbeats,
+      Map<String, Heartbeat> heartbeats,
       Map<String, Member> members,
       Instant now) {
-    Liveness heartbeat = heartbeats.get(sender.nodeId());
-    if (heartbeat == null || heartbeat.leaving() || tracks(sender)) {
+    Heartbeat heartbeat = heartbeats.get(sender.nodeId());
+    if (heartbeat == null || heartbeat.draining() || tracks(sender)) {
       return;
     }
     Map<String, Integer> freeSlots =
@@ -126,8 +127,11 @@
   }
 
   private void applyMemberInfo(
-      MemberInfo info, Map<String, Liveness> heartbeats, Map<String, Member> members, Instant now) {
-    Liveness heartbeat = heartbeats.get(info.nodeId());
+      MemberInfo info,
+      Map<String, Heartbeat> heartbeats,
+      Map<String, Member> members,
+      Instant now) {
+    Heartbeat heartbeat = heartbeats.get(info.nodeId());
     if (heartbeat == null || info.nodeId().equals(self.nodeId()) || !tracks(info)) {
       return;
     }
@@ -140,7 +144,8 @@
     }
   }
 
-  private static void applyHeartbeat(Liveness heartbeat, Map<String, Member> members, Instant now) {
+  private static void applyHeartbeat(
+      Heartbeat heartbeat, Map<String, Member> members, Instant now) {
     Member recorded = members.get(heartbeat.nodeId());
     boolean sameIncarnation =
         recorded != null && recorded.info().incarnation() == heartbeat.incarnation();
@@ -158,7 +163,7 @@
       Map<String, Member> members,
       Instant now) {
     RegionDigest recorded = digests.get(digest.originator());
-    boolean stale = recorded != null && recorded.stamp() >= digest.stamp();
+    boolean stale = recorded != null && recorded.sequence() >= digest.sequence();
     if (stale || digest.region().equals(self.region())) {
       return;
     }
@@ -172,7 +177,7 @@
       if (!tracks(contact)) {
         // A digest reports that a contact is alive, but not its heartbeat counter. A counter other
         // than 0 could supersede the contact's own heartbeats at the daemons it is relayed to.
-        Liveness heartbeat = new Liveness(contact.nodeId(), contact.incarnation(), 0, false);
+        Heartbeat heartbeat = new Heartbeat(contact.nodeId(), contact.incarnation(), 0, false);
         members.put(
             contact.nodeId(), new Member(contact, heartbeat, now, digest.freeSlotsByModel()));
       }
@@ -180,7 +185,7 @@
   }
 
   /** Returns the table with the given time as the last-seen time of every member. */
-  public MemberTable allHeardAt(Instant now) {
+  public MemberTable withAllSeenAt(Instant now) {
     Map<String, Member> members = new HashMap<>();
     byId.forEach(
         (id, m) -> members.put(id, new Member(m.info(), m.heartbeat(), now, m.freeSlotsByModel())));
@@ -210,12 +215,12 @@
    * Returns the suspicion timeout in gossip intervals, given the number of members whose heartbeats
    * are tracked.
    */
-  public static int suspectIntervals(int members) {
+  public static int suspicionTimeoutIntervals(int members) {
     return 3 + (int) Math.ceil(2 * Math.log(Math.max(1, members)) / Math.log(2));
   }
 
   private Duration suspicionTimeout() {
-    return interval.multipliedBy(suspectIntervals(trackedCount + 1));
+    return interval.multipliedBy(suspicionTimeoutIntervals(trackedCount + 1));
   }
 
   /** Returns the status of a member at the given time. */
@@ -238,7 +243,7 @@
   }
 
   /** Returns the members whose heartbeats this daemon tracks: its region and the control group. */
-  public List<Member> followed() {
+  public List<Member> trackedMembers() {
     return byId.values().stream().filter(m -> tracks(m.info())).collect(Collectors.toList());
   }
 
@@ -247,7 +252,7 @@
     Map<String, RegionDigest> newest = new TreeMap<>();
     digestByOriginator
         .values()
-        .forEach(d -> newest.merge(d.region(), d, (a, b) -> a.stamp() >= b.stamp() ? a : b));
+        .forEach(d -> newest.merge(d.region(), d, (a, b) -> a.sequence() >= b.sequence() ? a : b));
     return newest.values();
   }
 
@@ -258,7 +263,7 @@
 
   /** Returns the alive members of a role in a region that are not draining, ordered by node id. */
   public List<Member> alive(String role, String region, Instant now) {
-    return known(role, region).stream()
+    return membersOf(role, region).stream()
         .filter(m -> !m.draining() && status(m, now) == MemberStatus.ALIVE)
         .collect(Collectors.toList());
   }
@@ -267,7 +272,7 @@
    * Returns the members of a role in a region, including suspect and draining ones, ordered by node
    * id. If the region is null, members of all regions are included.
    */
-  public List<Member> known(String role, String region) {
+  public List<Member> membersOf(String role, String region) {
     return byId.values().stream()
         .filter(m -> m.info().role().equals(role))
         .filter(m -> region == null || m.info().region().equals(region))
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/RegionDigest.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/RegionDigest.java
@@ -17,7 +17,7 @@
 public record RegionDigest(
     String region,
     String originator,
-    long stamp,
+    long sequence,
     List<MemberInfo> contacts,
     Map<String, Integer> freeSlotsByModel) {
   /** Maximum number of entries listed in a digest. */
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/config/ConfigReceiverTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/config/ConfigReceiverTest.java
@@ -63,12 +63,12 @@
   @MethodSource("schedules")
   void activatesOnlySettledVersions(String name, List<Step> steps) {
     ConfigStore configs = new ConfigStore();
-    ConfigLearning receiver = new ConfigLearning(configs, Duration.ofSeconds(1));
+    ConfigReceiver receiver = new ConfigReceiver(configs, Duration.ofSeconds(1));
     for (Step step : steps) {
       Instant now = START.plusMillis(step.atMillis());
       switch (step.kind()) {
-        case "report" -> receiver.heard(step.version(), now);
-        case "offer" -> receiver.offered(step.version(), "selectors: []", now);
+        case "report" -> receiver.onReportedVersion(step.version(), now);
+        case "offer" -> receiver.onOffer(step.version(), "selectors: []", now);
         default -> receiver.tick(now);
       }
       assertThat(step.toString(), configs.current().version(), is(step.activeVersion()));
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ConsensusMemberTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ConsensusMemberTest.java
@@ -15,7 +15,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Tests the control group under various faults; each case starts with three accepted changes. The name of a case also seeds its simulation.
+ * Tests the control group under various faults; each case starts with three accepted changes. The
+ * name of a case also seeds its simulation.
  */
 class ConsensusMemberTest {
 
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ControlGroup.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ControlGroup.java
@@ -10,7 +10,11 @@
 import java.util.Set;
 
 /**
- * Simulates a control group whose members exchange messages through a queue that the test controls: messages are delayed, dropped, duplicated or blocked by a partition, and members are killed, restarted or restarted with an empty disk. After each step it checks that no two members commit different entries at the same index, that a term has only one leader and that no accepted version is replaced.
+ * Simulates a control group whose members exchange messages through a queue that the test controls:
+ * messages are delayed, dropped, duplicated or blocked by a partition, and members are killed,
+ * restarted or restarted with an empty disk. After each step it checks that no two members commit
+ * different entries at the same index, that a term has only one leader and that no accepted version
+ * is replaced.
  */
 final class ControlGroup {
   static final ConsensusTiming TIMING = new ConsensusTiming(50, 300, 20);
@@ -107,7 +111,7 @@
   private void adjustGroup(String id) {
     for (String other : ids) {
       if (isRunning(other) && partitioned.contains(id) == partitioned.contains(other)) {
-        execute(id, member(id).admit(other, nowMillis));
+        execute(id, member(id).addLearner(other, nowMillis));
       }
     }
     execute(id, member(id).adjustGroup(policy.orElseThrow(), nowMillis));
@@ -294,10 +298,10 @@
   }
 
   private void checkDecision(Output.Decision decision) {
-    results.put(decision.ticket(), decision.result());
+    results.put(decision.proposalId(), decision.result());
     if (decision.result() instanceof ChangeResult.Accepted a
-        && !routingVersionByProposalId.containsKey(decision.ticket())) {
-      String change = changeByProposalId.get(decision.ticket());
+        && !routingVersionByProposalId.containsKey(decision.proposalId())) {
+      String change = changeByProposalId.get(decision.proposalId());
       String earlier = changeByVersion.putIfAbsent(a.version(), change);
       if (earlier != null && !earlier.equals(change)) {
         throw new AssertionError("version " + a.version() + ": " + earlier + " and " + change);
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/SplitVoteTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/SplitVoteTest.java
@@ -23,9 +23,7 @@
   private static final int SEEDS = 200;
   private static final long STEP_MILLIS = 10;
 
-  /**
-   * The maximum one-way delay of a message between distant regions.
-   */
+  /** The maximum one-way delay of a message between distant regions. */
   private static final int MAX_ONE_WAY_DELAY_MILLIS = 55;
 
   /** The maximum difference between the start times of processes that are started together. */
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/membership/GossipTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/membership/GossipTest.java
@@ -56,7 +56,8 @@
    */
   private void start(String id, String role, String region, long incarnationOffset) {
     MemberInfo info =
-        new MemberInfo(id, role, region, region + "-a", id, id, FIRST_INCARNATION + incarnationOffset);
+        new MemberInfo(
+            id, role, region, region + "-a", id, id, FIRST_INCARNATION + incarnationOffset);
     nodes.put(id, new Node(info, List.of("control-1"), random.nextLong()));
   }
 
@@ -79,7 +80,7 @@
           node.table = node.table.withoutDead(now);
           Gossiper.SelfReport report =
               new Gossiper.SelfReport(node.draining, 1, Map.of("writer", 4));
-          node.gossiper.round(report, node.table, now).forEach(this::deliver);
+          node.gossiper.nextMessages(report, node.table, now).forEach(this::deliver);
         }
       }
     }
@@ -88,8 +89,8 @@
   private void deliver(Gossiper.Outgoing message) {
     Node receiver = nodes.get(message.address());
     if (receiver != null && !frozen.contains(message.address())) {
-      receiver.table = receiver.table.heard(message.gossip(), now);
-      receiver.gossiper.answer(message.gossip(), 1, receiver.table).ifPresent(this::deliver);
+      receiver.table = receiver.table.withGossip(message.gossip(), now);
+      receiver.gossiper.respond(message.gossip(), 1, receiver.table).ifPresent(this::deliver);
     }
   }
 
@@ -109,7 +110,9 @@
         String id = node.info.nodeId();
         int self = node.info.role().equals(MemberInfo.ENTRY) ? 1 : 0;
         assertThat(
-            id + " has members " + node.table.known(MemberInfo.ENTRY, node.info.region()).size(),
+            id
+                + " has members "
+                + node.table.membersOf(MemberInfo.ENTRY, node.info.region()).size(),
             aliveAt(id, node.info.region()).size(),
             is(entriesPerRegion - self));
         assertThat(id, node.table.get("control-1").isPresent() || id.equals("control-1"));
@@ -128,7 +131,8 @@
     startRegions(2, entries);
     String unresponsive = "entry-0-1";
     frozen.add(unresponsive);
-    int suspicionRounds = MemberTable.suspectIntervals(entries + 2) + MAX_PROPAGATION_ROUNDS;
+    int suspicionRounds =
+        MemberTable.suspicionTimeoutIntervals(entries + 2) + MAX_PROPAGATION_ROUNDS;
     rounds(suspicionRounds);
     assertThat(aliveAt("entry-0-0", "region-0").contains(unresponsive), is(false));
     rounds(suspicionRounds);
@@ -168,7 +172,7 @@
     assertThat(aliveAt("entry-0-0", "region-2").isEmpty(), is(false));
     nodes.keySet().stream().filter(id -> id.startsWith("entry-2")).forEach(frozen::add);
     int removalRounds =
-        2 * MemberTable.suspectIntervals(6) * MemberTable.OTHER_REGION_TIMEOUT_FACTOR;
+        2 * MemberTable.suspicionTimeoutIntervals(6) * MemberTable.OTHER_REGION_TIMEOUT_FACTOR;
     rounds(removalRounds + MAX_PROPAGATION_ROUNDS);
     assertThat(aliveAt("entry-0-0", "region-2"), is(empty()));
   }
@@ -178,7 +182,7 @@
     startRegions(13, 26);
     for (Node node : nodes.values()) {
       List<Gossiper.Outgoing> sent =
-          node.gossiper.round(new Gossiper.SelfReport(false, 1, Map.of()), node.table, now);
+          node.gossiper.nextMessages(new Gossiper.SelfReport(false, 1, Map.of()), node.table, now);
       int maxMessages = Gossiper.FANOUT + Gossiper.REGION_FANOUT + 1;
       assertThat(node.info.nodeId(), sent.size(), is(lessThanOrEqualTo(maxMessages)));
       for (Gossiper.Outgoing message : sent) {
