--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/config/ConfigPatchTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/config/ConfigPatchTest.java
@@ -27,11 +27,11 @@
 
   static Stream<Arguments> patches() {
     return Stream.of(
-        Arguments.of("empty patch", "{}", "writers,desk", "a,b"),
-        Arguments.of("adds an organisation", "organisations: [{name: c}]", "writers,desk", "a,b,c"),
+        Arguments.of("nothing", "{}", "writers,desk", "a,b"),
+        Arguments.of("adds", "organisations: [{name: c}]", "writers,desk", "a,b,c"),
         Arguments.of(
             "replaces a selector in place", "selectors: [{name: writers}]", "writers,desk", "a,b"),
-        Arguments.of("removes a selector", "remove: {selectors: [writers]}", "desk", "a,b"),
+        Arguments.of("removes", "remove: {selectors: [writers]}", "desk", "a,b"),
         Arguments.of(
             "removes an unknown organisation",
             "remove: {organisations: [x]}",
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/RoutingStateTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/RoutingStateTest.java
@@ -48,8 +48,8 @@
 
   static Stream<Case> cases() {
     return Stream.of(
-        new Case("started", List.of(Order.start(0)), Set.of("a"), 1),
-        new Case("started twice", List.of(Order.start(0), Order.start(0)), Set.of("a"), 1),
+        new Case("begun", List.of(Order.start(0)), Set.of("a"), 1),
+        new Case("begun twice", List.of(Order.start(0), Order.start(0)), Set.of("a"), 1),
         new Case("ended", List.of(Order.start(0), Order.end(1)), Set.of(), 2),
         new Case(
             "a copy delayed by a partition arrives after the end",
@@ -62,7 +62,7 @@
             Set.of("a"),
             3),
         new Case(
-            "started again", List.of(Order.start(0), Order.end(1), Order.start(2)), Set.of("a"), 3),
+            "begun again", List.of(Order.start(0), Order.end(1), Order.start(2)), Set.of("a"), 3),
         new Case(
             "changes of another domain have no effect",
             List.of(Order.start(0), Order.end(1), new Order("b", true, 0)),
