--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/KeyOwnership.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/KeyOwnership.java
@@ -195,7 +195,7 @@
 
   /** Returns the key's replicas except this daemon, including suspect members. */
   private List<MemberInfo> otherReplicas(String key) {
-    return selectReplicas(membership.table().known(MemberInfo.ENTRY, region()), key).stream()
+    return selectReplicas(membership.table().membersOf(MemberInfo.ENTRY, region()), key).stream()
         .filter(r -> !r.nodeId().equals(self.nodeId()))
         .toList();
   }
@@ -239,7 +239,7 @@
    */
   public synchronized void expireAndHandOver() {
     table.expire(clock.instant());
-    List<Member> members = membership.table().known(MemberInfo.ENTRY, region());
+    List<Member> members = membership.table().membersOf(MemberInfo.ENTRY, region());
     Set<String> peerIncarnations = new HashSet<>();
     members.forEach(m -> peerIncarnations.add(m.info().nodeId() + "/" + m.info().incarnation()));
     if (peerIncarnations.equals(knownPeerIncarnations)) {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/RoutingStateTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/RoutingStateTest.java
@@ -9,59 +9,75 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Which evacuations are in force after orders, copies of which arrive late and out of turn. */
+/**
+ * Tests which evacuations are active after a series of orders of which copies arrive late and out
+ * of order.
+ */
 class RoutingStateTest {
-  /** An order as the log commits it; the domain is "a" unless it says otherwise. */
-  record Order(String domain, boolean active, long basisRevision) {
-    static Order start(long basis) {
-      return new Order("a", true, basis);
+  /**
+   * An evacuation order as committed to the log.
+   *
+   * @param domain the failure domain; "a" unless stated otherwise
+   * @param active true to start the evacuation, false to end it
+   * @param baseRevision the revision that the order is based on
+   */
+  record Order(String domain, boolean active, long baseRevision) {
+    static Order start(long baseRevision) {
+      return new Order("a", true, baseRevision);
     }
 
-    static Order end(long basis) {
-      return new Order("a", false, basis);
+    static Order end(long baseRevision) {
+      return new Order("a", false, baseRevision);
     }
   }
 
-  /** A row: orders in the log's order, and what is evacuated after them at which revision. */
-  record Row(String name, List<Order> orders, Set<String> evacuated, long revision) {
+  /**
+   * A test case.
+   *
+   * @param name the display name
+   * @param orders the orders in the order in which they are committed
+   * @param evacuated the domains evacuated after them
+   * @param revision the revision after them
+   */
+  record Case(String name, List<Order> orders, Set<String> evacuated, long revision) {
     @Override
     public String toString() {
       return name;
     }
   }
 
-  static Stream<Row> rows() {
+  static Stream<Case> cases() {
     return Stream.of(
-        new Row("begun", List.of(Order.start(0)), Set.of("a"), 1),
-        new Row("begun twice", List.of(Order.start(0), Order.start(0)), Set.of("a"), 1),
-        new Row("ended", List.of(Order.start(0), Order.end(1)), Set.of(), 2),
-        new Row(
-            "a copy held up by a cut arrives after the end",
+        new Case("begun", List.of(Order.start(0)), Set.of("a"), 1),
+        new Case("begun twice", List.of(Order.start(0), Order.start(0)), Set.of("a"), 1),
+        new Case("ended", List.of(Order.start(0), Order.end(1)), Set.of(), 2),
+        new Case(
+            "a copy delayed by a partition arrives after the end",
             List.of(Order.start(0), Order.end(1), Order.start(0)),
             Set.of(),
             2),
-        new Row(
-            "a copy of the end arrives after a second beginning",
+        new Case(
+            "a copy of the end arrives after a second start",
             List.of(Order.start(0), Order.end(1), Order.start(2), Order.end(1)),
             Set.of("a"),
             3),
-        new Row(
+        new Case(
             "begun again", List.of(Order.start(0), Order.end(1), Order.start(2)), Set.of("a"), 3),
-        new Row(
-            "another domain's changes do not matter",
+        new Case(
+            "changes of another domain have no effect",
             List.of(Order.start(0), Order.end(1), new Order("b", true, 0)),
             Set.of("b"),
             3));
   }
 
   @ParameterizedTest
-  @MethodSource("rows")
-  void lateCopiesChangeNothing(Row row) {
+  @MethodSource("cases")
+  void lateCopiesHaveNoEffect(Case testCase) {
     RoutingState state = RoutingState.EMPTY;
-    for (Order order : row.orders()) {
-      state = state.evacuated(order.domain(), order.active(), order.basisRevision());
+    for (Order order : testCase.orders()) {
+      state = state.withEvacuation(order.domain(), order.active(), order.baseRevision());
     }
-    assertThat(state.evacuatedDomains(), equalTo(row.evacuated()));
-    assertThat(state.revision(), equalTo(row.revision()));
+    assertThat(state.evacuatedDomains(), equalTo(testCase.evacuated()));
+    assertThat(state.revision(), equalTo(testCase.revision()));
   }
 }
