--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetTransport.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetTransport.java
@@ -52,7 +52,7 @@
   private void handle(PeerMessage.Fleet fleet, Consumer<FleetMessage> onFleet) {
     long startNanos = System.nanoTime();
     onFleet.accept(fleet.message());
-    transport.traffic().handled(fleet, System.nanoTime() - startNanos);
+    transport.traffic().recordHandling(fleet, System.nanoTime() - startNanos);
   }
 
   /** Returns the traffic and processing time by message kind. */
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ExtraSends.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ExtraSends.java
@@ -52,7 +52,7 @@
     if (!allowed) {
       return Optional.empty();
     }
-    metrics.retries.labelValues("retry").inc();
+    metrics.extraSends.labelValues("retry").inc();
     return Optional.of(delay);
   }
 
@@ -70,7 +70,7 @@
             && exchange.attemptCount() == 1
             && budget.tryWithdraw(clock.instant());
     if (allowed) {
-      metrics.retries.labelValues("hedge").inc();
+      metrics.extraSends.labelValues("hedge").inc();
     }
     return allowed;
   }
