--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/ConsensusDriver.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/ConsensusDriver.java
@@ -21,29 +21,31 @@
 import org.lacewingcroft.consensus.Output;
 
 /**
- * Runs a {@link ConsensusMember} on one thread that owns it and its files: lets time pass, feeds it
- * messages and proposals, and carries out what each step asks for.
+ * Runs a {@link ConsensusMember} on a single thread, to which the member and its files are
+ * confined: calls its tick periodically, passes it messages and proposals, and carries out the
+ * output of each step.
  *
- * <p>A failed write or sync stops the driver for good: the file's state is then unknown, so the
- * member must not acknowledge anything more. {@code onDiskFailure} is told.
+ * <p>A step that throws, as after a failed write or sync, stops the driver permanently: the state
+ * of the file is then unknown, so the member must not acknowledge anything more. {@code
+ * onDiskFailure} is called in that case.
  */
 final class ConsensusDriver implements AutoCloseable {
   private static final System.Logger LOG = System.getLogger(ConsensusDriver.class.getName());
   private static final long TICK_MILLIS = 20;
   private static final long CLOSE_SECONDS = 5;
 
-  /** What the driver's owner does with a step's results; called on the driver's thread. */
+  /** Receives the results of each step; called on the driver's thread. */
   interface Listener {
     /** Sends a message to another member. */
     void send(String to, ConsensusMessage message);
 
-    /** Notes the member's state after a step. */
+    /** Called after each step with the member and the entries that the step committed. */
     void stepped(ConsensusMember member, List<LogEntry> committed);
   }
 
-  /** A proposal to the member. */
+  /** A call that makes a proposal to the member. */
   interface Proposal {
-    /** Makes the proposal under a ticket. */
+    /** Makes the proposal; its decision is reported under the given ticket. */
     Output propose(long ticket, long nowMillis);
   }
 
@@ -72,22 +74,23 @@
     this.onDiskFailure = onDiskFailure;
   }
 
+  /** Returns the time of the monotonic clock, in milliseconds. */
   static long steadyMillis() {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
 
-  /** Begins to let time pass. */
+  /** Starts calling {@link ConsensusMember#tick} periodically. */
   void start() {
     every(TICK_MILLIS, member::tick);
   }
 
-  /** Repeats a step. */
+  /** Runs a step repeatedly, with a fixed delay between the runs. */
   void every(long periodMillis, LongFunction<Output> action) {
     thread.scheduleWithFixedDelay(
         () -> step(action), periodMillis, periodMillis, TimeUnit.MILLISECONDS);
   }
 
-  /** Runs a step soon; returns whether the driver still runs. */
+  /** Queues a step; returns false if the driver is closed or has stopped. */
   boolean later(LongFunction<Output> action) {
     try {
       thread.execute(() -> step(action));
@@ -98,10 +101,11 @@
   }
 
   /**
-   * Makes a proposal.
+   * Submits a proposal to the member.
    *
-   * @param patience how long to wait for its decision
-   * @return the decision; {@link ChangeResult.Unknown} once the patience is over
+   * @param timeout maximum wait for the decision
+   * @return the decision; {@link ChangeResult.Unknown} after the timeout, {@link
+   *     ChangeResult.NotLeader} if the driver is closed or has stopped
    */
   Future<ChangeResult> propose(Proposal proposal, Duration patience) {
     Promise<ChangeResult> promise = Promise.promise();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/ControlService.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/ControlService.java
@@ -21,8 +21,8 @@
 import org.lacewingcroft.peer.PeerMessage;
 
 /**
- * The control role: drives this instance's {@link ConsensusMember}, carries its messages over the
- * peer transport, and puts each committed configuration in force.
+ * The control role of a daemon: runs this instance's {@link ConsensusMember}, sends its messages
+ * over the peer transport, and activates each committed configuration in the {@link ConfigStore}.
  */
 public final class ControlService implements AutoCloseable {
   private static final System.Logger LOG = System.getLogger(ControlService.class.getName());
@@ -35,15 +35,15 @@
   private volatile Status status;
 
   /**
-   * The role as an operator sees it.
+   * The state of the control role as it is shown to operators.
    *
    * @param role follower, candidate or leader
-   * @param leader the leader this member knows
-   * @param term the current term, the fencing token of the leader's orders
+   * @param leader the leader, if this member knows it
+   * @param term the current term, which is also the fencing token of the leader's orders
    * @param commitIndex the last log index known to be committed
    * @param version the committed configuration version
-   * @param voter false while the data folder is new and not yet readmitted
-   * @param caughtUp false since the start until the newest committed version is known
+   * @param voter false while the data folder is new and the group has not readmitted it
+   * @param caughtUp false after the start until the newest committed version is known
    */
   public record Status(
       ConsensusMember.Role role,
@@ -55,8 +55,8 @@
       boolean caughtUp) {
 
     /**
-     * Returns whether a daemon that holds the given version may show it as the one in force: the
-     * role knows which version is the newest committed, and the daemon has put it in force.
+     * Returns whether a daemon that holds the given version may present it as the active one: this
+     * member knows which version is the newest committed, and the daemon has activated it.
      */
     public boolean confirms(long heldVersion) {
       return caughtUp && heldVersion >= version;
@@ -64,14 +64,15 @@
   }
 
   /**
-   * Opens the log in the data folder and recovers it; {@link #start} begins to take part.
+   * Opens the log in the data folder and recovers it. The member takes part in the group only after
+   * {@link #start}.
    *
-   * @param group the node ids of the control group, this one included
+   * @param group the node ids of the control group, including this one
    * @param dataDir the data folder
    * @param bootstrap true only on the deployment's first start
-   * @param configs the daemon's configuration, fed from the committed log
-   * @param membership the membership, to find the other members and push new versions
-   * @param onDiskFailure called once if the data folder fails; the role then answers nothing
+   * @param configs the daemon's configuration, updated from the committed log
+   * @param membership the membership, used to look up and send to the other members
+   * @param onDiskFailure called once if the data folder fails; the member then no longer responds
    * @throws IOException if the log cannot be opened
    */
   public ControlService(
@@ -109,22 +110,22 @@
         member.voter());
   }
 
-  /** Begins to take part in the group. */
+  /** Starts taking part in the group. */
   public void start() {
     driver.start();
   }
 
-  /** Returns whether this member leads its group; called from any thread. */
+  /** Returns whether this member is the leader of its group; may be called from any thread. */
   public boolean leads() {
     return status != null && status.leader().filter(nodeId::equals).isPresent();
   }
 
-  /** Returns the role as it was after the last step. */
+  /** Returns the state after the last step. */
   public Status status() {
     return status;
   }
 
-  /** Takes a message of another member. */
+  /** Passes a message of another member to this one. */
   public void receive(String from, ConsensusMessage message) {
     driver.later(now -> member.receive(from, message, now));
   }
@@ -132,10 +133,10 @@
   /**
    * Proposes an operator's change.
    *
-   * @param change the change, already checked
+   * @param change the change, already validated
    * @param expectedVersion the version the change is based on
-   * @param patience how long to wait for a quorum
-   * @return the outcome; {@link ChangeResult.Unknown} once the patience is over
+   * @param timeout maximum wait for a quorum
+   * @return the outcome; {@link ChangeResult.Unknown} after the timeout
    */
   public Future<ChangeResult> propose(
       Command.Change change, long expectedVersion, Duration patience) {
@@ -152,13 +153,16 @@
     }
 
     @Override
-    public void stepped(ConsensusMember stepped, List<LogEntry> committed) {
+    public void stepped(ConsensusMember steppedMember, List<LogEntry> committed) {
       publish(committed);
       committed.forEach(ControlService.this::logCommitted);
     }
   }
 
-  /** Puts the committed state in force here; the daemon then spreads it. */
+  /**
+   * Updates the status and activates the committed configuration in this daemon, which then notifies
+   * its peers.
+   */
   private void publish(List<LogEntry> committed) {
     ConfigState state = member.state();
     status =
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/DurableFile.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/DurableFile.java
@@ -12,33 +12,37 @@
 import java.util.zip.CRC32C;
 
 /**
- * Checked records in files that survive a crash: each record is a 4-byte length, a 4-byte CRC-32C
- * of the payload and the payload. A whole file is replaced by writing a temporary one, syncing it,
- * renaming it and syncing the folder, so a crash leaves the old or the new content.
+ * Reads and writes crash-safe files of checksummed records. A record consists of a 4-byte length, a
+ * 4-byte CRC-32C of the payload, and the payload. A file is replaced as a whole by writing a
+ * temporary file, syncing it, renaming it and syncing the folder, so that after a crash it has
+ * either the old or the new content.
  */
 public final class DurableFile {
-  /** Syncs as the file system does. */
+  /** Forces data and metadata to the storage device. */
   static final Sync TO_DISK = channel -> channel.force(true);
 
   private static final int HEADER_BYTES = 8;
 
-  /** Forces what was written to disk; replaced by tests that crash in between. */
+  /**
+   * Forces written data to the storage device. Tests replace it to simulate a crash between write and
+   * sync.
+   */
   interface Sync {
-    /** Syncs a file's data and length. */
+    /** Syncs the data and the length of a file. */
     void force(FileChannel channel) throws IOException;
   }
 
   /**
-   * The records of a file.
+   * The valid records of a file.
    *
    * @param payloads the valid records, in order
-   * @param validBytes the length up to the first record that is torn or corrupt
+   * @param validBytes the length in bytes up to the first torn or corrupt record
    */
   public record Contents(List<byte[]> payloads, long validBytes) {}
 
   private DurableFile() {}
 
-  /** Returns a record with its header. */
+  /** Encodes a payload as a record with its header. */
   static ByteBuffer record(byte[] payload) {
     return ByteBuffer.allocate(HEADER_BYTES + payload.length)
         .putInt(payload.length)
@@ -47,7 +51,10 @@
         .flip();
   }
 
-  /** Reads the valid records of a file from its start; an absent file has none. */
+  /**
+   * Reads the records of a file up to the first torn or corrupt one; a file that does not exist has no
+   * records.
+   */
   public static Contents read(Path file) throws IOException {
     List<byte[]> payloads = new ArrayList<>();
     if (!Files.exists(file)) {
@@ -72,7 +79,7 @@
     return new Contents(payloads, validBytes);
   }
 
-  /** Replaces a file by one with these records, durably. */
+  /** Replaces a file durably by one with the given records. */
   public static void replace(Path file, List<byte[]> payloads) throws IOException {
     replace(file, payloads, TO_DISK);
   }
@@ -100,7 +107,7 @@
     }
   }
 
-  /** Makes the folder's new and renamed names durable. */
+  /** Makes created and renamed files of a folder durable. */
   static void syncFolder(Path folder, Sync sync) throws IOException {
     try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
       sync.force(channel);
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/DurableLog.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/DurableLog.java
@@ -24,17 +24,17 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * A control group member's log in its data folder: {@code hard-state}, {@code snapshot} and {@code
- * config.log}, as records of {@link DurableFile}.
+ * The log of a control group member in its data folder: the files {@code hard-state}, {@code
+ * snapshot} and {@code config.log}, which hold records of {@link DurableFile}.
  *
- * <p>On open, a torn tail of the log (a crash between write and sync) is cut off: its entries were
- * never acknowledged. The data folder's id is made once, with the hard state; an empty folder makes
- * a voter only on the deployment's first start.
+ * <p>On open, a torn tail of the log, left by a crash between write and sync, is truncated: its
+ * entries were never acknowledged. The id of the data folder is generated once and stored in the
+ * hard state. A member with an empty folder is a voter only on the deployment's first start.
  *
- * <p>Not thread-safe: the control role's single thread owns it.
+ * <p>Not thread-safe: confined to the thread of its {@link ConsensusDriver}.
  */
 public final class DurableLog implements LogStorage, AutoCloseable {
-  /** The log file's name inside the data folder. */
+  /** The name of the log file in the data folder. */
   public static final String LOG_FILE = "config.log";
 
   private static final System.Logger LOG = System.getLogger(DurableLog.class.getName());
@@ -63,10 +63,11 @@
   }
 
   /**
-   * Opens the log in a data folder, which is created if absent, and recovers what is valid.
+   * Opens the log in a data folder, which is created if absent, and recovers its valid records.
    *
    * @param dataDir the data folder
-   * @param bootstrap true only on the deployment's first start: an empty folder may then vote
+   * @param bootstrap true only on the deployment's first start: a member with an empty folder may
+   *     vote then
    * @throws IOException if the folder or a file cannot be used
    */
   public static DurableLog open(Path dataDir, boolean bootstrap) throws IOException {
@@ -84,13 +85,13 @@
   }
 
   /**
-   * Opens the log of a group that its log names. On the deployment's first start the founding
-   * members begin with a snapshot that names them; every other data folder that is empty begins as
-   * a non-voter that learns the group from its leader.
+   * Opens the log of a group whose members are recorded in the log itself. On the deployment's first
+   * start the founding members start from a snapshot that lists them; with any other empty data
+   * folder the instance starts as a non-voter that receives the members from the leader.
    *
    * @param dataDir the data folder
-   * @param founders the ids of the founding members if this is one of them on the first start,
-   *     otherwise empty
+   * @param founders the ids of the founding members if this instance is one of them on the first
+   *     start, otherwise empty
    * @throws IOException if the folder or a file cannot be used
    */
   public static DurableLog openFounded(Path dataDir, Set<String> founders) throws IOException {
@@ -153,7 +154,7 @@
     channel.position(channel.size());
   }
 
-  /** Replaces the log file by one with just these entries. */
+  /** Replaces the log file by one that contains only the given entries. */
   private void rewrite(List<LogEntry> kept) throws IOException {
     Path file = dataDir.resolve(LOG_FILE);
     List<byte[]> payloads = new ArrayList<>();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/RoutingControl.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/RoutingControl.java
@@ -20,20 +20,20 @@
 import org.lacewingcroft.consensus.RoutingState;
 
 /**
- * The control group of a fleet: replicates the routing document and the evacuations over instances
- * whose number is not told beforehand. The founders are the first start's seeds; the group then
- * grows and replaces members as {@link GroupPolicy} decides. Members are named by their peer
- * addresses.
+ * The control group of a fleet: replicates the routing document and the evacuations over a number
+ * of instances that is not configured in advance. The founding members are the seeds of the first
+ * start; the group then grows and replaces members as {@link GroupPolicy} decides. Members are
+ * identified by their peer addresses.
  */
 public final class RoutingControl implements AutoCloseable {
   private static final System.Logger LOG = System.getLogger(RoutingControl.class.getName());
 
-  /** How often the group's membership is looked at. */
+  /** Interval between checks whether the members of the group must change. */
   private static final long ADJUST_MILLIS = 200;
 
   /**
-   * Silence after which an instance that stands by may take a member's place: longer than an
-   * election, shorter than the time in which a replacement must be of use.
+   * Time for which a member must be unresponsive before a standby instance may replace it: longer
+   * than an election, shorter than the time within which a replacement must take effect.
    */
   private static final long REPLACE_AFTER_MILLIS = 1_800;
 
@@ -42,10 +42,10 @@
   private volatile View view;
 
   /**
-   * The group as this instance sees it.
+   * The state of the group as known to this instance.
    *
    * @param routing the committed routing state
-   * @param inMajority whether a majority of the group is in touch
+   * @param inMajority whether this instance is connected to a majority of the group
    * @param leader the leader, if known
    * @param members the group's members
    * @param term the current term
@@ -57,23 +57,27 @@
       Set<String> members,
       long term) {
 
-    /** Returns the view of an instance whose data folder failed: it knows nothing newer. */
+    /**
+     * Returns this view without a leader and a majority, for an instance whose data folder has failed
+     * and which therefore receives no newer state.
+     */
     private View outOfTouch() {
       return new View(routing, false, Optional.empty(), members, term);
     }
   }
 
   /**
-   * Opens the log and begins to take part.
+   * Opens the log and starts taking part in the group.
    *
    * @param self this instance's peer address
    * @param dataDir the data folder
-   * @param founders the founding members if this is one of them on the first start, else empty
-   * @param toleratedLosses how many members may be lost at once
-   * @param send carries a message to a member
-   * @param onRouting told of each newer routing state, on the group's thread
-   * @param onDiskFailure called once, on the group's thread, if the data folder fails; this object
-   *     then takes no part any more and its data folder may be opened again
+   * @param founders the founding members if this instance is one of them on the first start,
+   *     otherwise empty
+   * @param toleratedFailures how many members may fail at the same time
+   * @param send sends a message to a member
+   * @param onRouting receives each newer routing state, on the driver's thread
+   * @param onDiskFailure called once, on the driver's thread, if the data folder fails; this object
+   *     then no longer takes part in the group, and its data folder may be reopened
    * @throws IOException if the log cannot be opened
    */
   public RoutingControl(
@@ -132,7 +136,7 @@
               }
 
               @Override
-              public void stepped(ConsensusMember stepped, List<LogEntry> committed) {
+              public void stepped(ConsensusMember steppedMember, List<LogEntry> committed) {
                 publish(committed, onRouting);
               }
             },
@@ -197,17 +201,17 @@
     }
   }
 
-  /** Returns the group as of the last step. */
+  /** Returns the state of the group after the last step. */
   public View view() {
     return view;
   }
 
-  /** Takes a message of another member. */
+  /** Passes a message of another member to this one. */
   public void receive(String from, ConsensusMessage message) {
     driver.later(now -> member.receive(from, message, now));
   }
 
-  /** Begins to replicate to an instance that is no member, if this one leads. */
+  /** Starts replicating to an instance that is not a member, if this instance is the leader. */
   public void admit(String learner) {
     if (!view.members().contains(learner)) {
       driver.later(now -> member.admit(learner, now));
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/ConfigApi.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/ConfigApi.java
@@ -26,11 +26,12 @@
 import org.lacewingcroft.peer.Membership;
 
 /**
- * The operators' configuration API: {@code GET /v1/config} on every daemon, and on control daemons
- * {@code PUT /v1/config} (a whole document), {@code PATCH /v1/config} (a {@link ConfigPatch}) and
- * {@code GET /v1/control}.
+ * The configuration API for operators: {@code GET /v1/config} on every daemon, and on control
+ * daemons {@code PUT /v1/config} (a whole document), {@code PATCH /v1/config} (a {@link
+ * ConfigPatch}) and {@code GET /v1/control}.
  *
- * <p>A change sent to a control daemon that does not lead is relayed to the leader, once.
+ * <p>A control daemon that is not the leader relays a change to the leader, but never one that was
+ * already relayed.
  */
 final class ConfigApi {
   private static final String CHANGE_ID_HEADER = "X-Change-Id";
@@ -44,7 +45,7 @@
   private final Membership membership;
   private final HttpClient client;
 
-  /** One change as an operator sent it, in a whole document or a patch. */
+  /** A change as sent by an operator: a whole document or a patch. */
   private record Request(
       Command.Change change,
       long expectedVersion,
@@ -59,9 +60,10 @@
   }
 
   /**
-   * Serves the configuration in force.
+   * Mounts the route that returns the active configuration.
    *
-   * @param known whether this daemon knows which version is in force; until then reads are refused
+   * @param configKnown whether this daemon knows which version is active; until then reads are
+   *     refused
    */
   void mountRead(Router router, BooleanSupplier known) {
     router
@@ -76,6 +78,7 @@
             });
   }
 
+  /** Mounts the routes of the control role. */
   void mountControl(Router router, ControlService control) {
     router.put("/v1/config").handler(ctx -> apply(ctx, control));
     router.patch("/v1/config").handler(ctx -> apply(ctx, control));
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
@@ -42,8 +42,8 @@
 import org.lacewingcroft.routing.RoutingPolicies;
 
 /**
- * One running daemon of either role: its HTTP API, peer transport, membership and, for the control
- * role, the configuration log. Closing it is a graceful shutdown.
+ * A running daemon of either role: its HTTP API, peer transport, membership and, for the control
+ * role, the configuration log. Closing it shuts it down gracefully.
  */
 public final class Daemon implements AutoCloseable {
   private static final System.Logger LOG = System.getLogger(Daemon.class.getName());
@@ -76,9 +76,9 @@
   }
 
   /**
-   * Starts a daemon and returns once it listens.
+   * Starts a daemon and returns when it is listening.
    *
-   * @param settings checked settings
+   * @param settings the validated settings
    * @return the running daemon
    * @throws Exception if a port cannot be bound or the data folder cannot be used
    */
@@ -165,7 +165,10 @@
         self.peerAddress());
   }
 
-  /** The port is open before all routes are there; callers must not be told that they are not. */
+  /**
+   * Rejects requests until all routes are mounted. The port is open before that, and callers must not
+   * receive a 404 for a route that is about to be mounted.
+   */
   private void refuseWhileStarting(RoutingContext ctx) {
     if (started) {
       ctx.next();
@@ -232,17 +235,17 @@
         faults.delayMillis());
   }
 
-  /** Returns the HTTP port bound. */
+  /** Returns the bound HTTP port. */
   public int httpPort() {
     return httpPort;
   }
 
-  /** Returns the peer port bound. */
+  /** Returns the bound peer port. */
   public int peerPort() {
     return peerPort;
   }
 
-  /** Tells others of a version just put in force; the leader tells every region. */
+  /** Notifies peers of a newly activated version; the leader notifies every region. */
   private void spreadVersion(long version) {
     boolean leads = control != null && control.leads();
     membership.sendToRandomMembers(
@@ -267,7 +270,9 @@
     metrics.staleConfigOffers.set(configs.staleOffers());
   }
 
-  /** Asks a peer for its configuration if it is newer than what this entry was offered. */
+  /**
+   * Requests a peer's configuration if its version is newer than any version offered to this entry.
+   */
   private void newerVersionAt(String peerAddress, long version) {
     if (settings.role() == Role.ENTRY && learning.heard(version, clock.instant())) {
       transport.send(
@@ -277,7 +282,10 @@
     }
   }
 
-  /** Sends a lagging peer the patches it lacks, or the whole document if they are not at hand. */
+  /**
+   * Sends a lagging peer the patches that it lacks, or the whole document if this daemon does not hold
+   * them all.
+   */
   private void answerConfigRequest(PeerMessage.ConfigRequest request) {
     ConfigStore.Applied current = configs.current();
     if (current.version() <= request.haveVersion()) {
@@ -323,7 +331,10 @@
     }
   }
 
-  /** Tells whether this daemon is ready: an entry for callers, a control daemon for changes. */
+  /**
+   * Serves the readiness check: an entry is ready when it accepts requests of callers, a control daemon
+   * when its configuration is up to date.
+   */
   private void readyPage(RoutingContext ctx) {
     boolean ready = settings.role() == Role.ENTRY ? servesCallers() : knowsConfig();
     ctx.response().setStatusCode(ready ? 200 : 503).end(ready ? "ready\n" : "not ready\n");
@@ -349,9 +360,10 @@
   }
 
   /**
-   * Shuts down gracefully: stops taking new requests, tells peers, waits for requests in flight up
-   * to the drain timeout, then closes the servers. An entry stays up for a few heartbeats at least,
-   * so that peers and callers that still send to it are told to go elsewhere rather than cut off.
+   * Shuts down gracefully: stops accepting new requests, notifies peers, waits for requests in
+   * flight up to the drain timeout, then closes the servers. An entry stays up for at least a few
+   * heartbeats, so that peers and callers that still send to it receive a rejection and use another
+   * entry instead of losing their connection.
    */
   @Override
   public void close() throws Exception {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/DirectoryApi.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/DirectoryApi.java
@@ -22,9 +22,9 @@
 import org.lacewingcroft.peer.PeerMessage;
 
 /**
- * Who is where: {@code GET /v1/entries} tells callers which entries to use, {@code POST
- * /v1/endpoints/announce} takes endpoints' announcements and {@code GET /v1/endpoints} lists them;
- * {@code GET /v1/models} lists what they serve, as OpenAI clients expect it.
+ * The directory API: {@code GET /v1/entries} lists the entries that callers may use, {@code POST
+ * /v1/endpoints/announce} receives announcements of endpoints, {@code GET /v1/endpoints} lists the
+ * endpoints, and {@code GET /v1/models} lists their models in the format of the OpenAI API.
  */
 final class DirectoryApi {
   private final Membership membership;
@@ -36,7 +36,7 @@
   /**
    * Creates the API.
    *
-   * @param servesCallers whether this daemon itself is an entry that takes new requests
+   * @param acceptsRequests whether this daemon is an entry that accepts new requests
    */
   DirectoryApi(
       Membership membership,
@@ -51,10 +51,12 @@
     this.servesCallers = servesCallers;
   }
 
+  /** Mounts the route that lists the entries. */
   void mountEntries(Router router) {
     router.get("/v1/entries").handler(this::entriesPage);
   }
 
+  /** Mounts the routes for endpoints and models. */
   void mountEndpoints(Router router) {
     router.post("/v1/endpoints/announce").handler(this::announce);
     router.get("/v1/endpoints").handler(this::endpointsPage);
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/FaultApi.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/FaultApi.java
@@ -16,9 +16,9 @@
 import org.lacewingcroft.peer.Membership;
 
 /**
- * Fault injection for experiments, off unless {@code --fault-injection} is set: {@code POST
- * /v1/faults} with {@code {"cutRegions": ["r"], "delayMillis": 50}} replaces the faults on this
- * daemon's links to other regions.
+ * The fault injection API for experiments, disabled unless {@code --fault-injection} is set: {@code
+ * POST /v1/faults} with {@code {"cutRegions": ["r"], "delayMillis": 50}} replaces the faults on
+ * this daemon's links to other regions.
  */
 final class FaultApi {
   private final Membership membership;
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/JsonReply.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/JsonReply.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.vertx.ext.web.RoutingContext;
 
-/** Sends JSON documents as answers of the daemon's own API. */
+/** Sends JSON documents as responses of the daemon's own API. */
 final class JsonReply {
   static final ObjectMapper JSON = new ObjectMapper();
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Main.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Main.java
@@ -15,8 +15,8 @@
 import picocli.CommandLine.Option;
 
 /**
- * The daemon's command line, {@code lacewingcroftd}. Every flag can also be set by the environment
- * variable named in its description; flags win.
+ * The command line of the daemon, {@code lacewingcroftd}. Every flag can also be set by the
+ * environment variable named in its description; a flag takes precedence.
  */
 @Command(
     name = "lacewingcroftd",
@@ -102,7 +102,7 @@
   @Option(
       names = "--secret-file",
       defaultValue = "${env:LWC_SECRET_FILE}",
-      description = "file holding the shared peer secret ($LWC_SECRET_FILE)")
+      description = "file that contains the shared peer secret ($LWC_SECRET_FILE)")
   Path secretFile;
 
   @Option(
@@ -126,13 +126,13 @@
   @Option(
       names = "--hedge-millis",
       defaultValue = "${env:LWC_HEDGE_MILLIS:-0}",
-      description = "wait before an idempotent request is hedged; 0 is never ($LWC_HEDGE_MILLIS)")
+      description = "wait before an idempotent request is hedged; 0 disables ($LWC_HEDGE_MILLIS)")
   long hedgeMillis;
 
   @Option(
       names = "--endpoint-lease-millis",
       defaultValue = "${env:LWC_ENDPOINT_LEASE_MILLIS:-3000}",
-      description = "endpoint lease without heartbeat ($LWC_ENDPOINT_LEASE_MILLIS)")
+      description = "endpoint lease, renewed by each announcement ($LWC_ENDPOINT_LEASE_MILLIS)")
   long endpointLeaseMillis;
 
   @Option(
@@ -150,10 +150,10 @@
   @Option(
       names = "--port-file",
       defaultValue = "${env:LWC_PORT_FILE}",
-      description = "write chosen ports here as JSON ($LWC_PORT_FILE)")
+      description = "file to write the bound ports to, as JSON ($LWC_PORT_FILE)")
   Path portFile;
 
-  /** Runs the daemon with the given arguments and exits with its status. */
+  /** Runs the daemon with the given arguments and exits with its status code. */
   public static void main(String[] args) {
     System.exit(new CommandLine(new Main()).execute(args));
   }
@@ -230,13 +230,13 @@
           "--secret-file",
           "LWC_SECRET_FILE",
           "missing",
-          "name a file with the deployment's shared secret (openssl rand -hex 32)");
+          "set a file that contains the deployment's shared secret (openssl rand -hex 32)");
     }
     try {
       return Files.readString(file).strip().getBytes(java.nio.charset.StandardCharsets.UTF_8);
     } catch (IOException e) {
       throw new SettingsException(
-          "--secret-file", "LWC_SECRET_FILE", "cannot read " + file, "check the path and rights");
+          "--secret-file", "LWC_SECRET_FILE", "cannot read " + file, "check the path and its permissions");
     }
   }
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/QuarantineApi.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/QuarantineApi.java
@@ -12,9 +12,10 @@
 import org.lacewingcroft.request.RequestFingerprint;
 
 /**
- * What entries refuse because endpoints ended under it: {@code GET /v1/quarantine} lists the
- * contents by their fingerprints, {@code DELETE /v1/quarantine/FINGERPRINT} lets one run again at
- * all entries and answers {@link ErrorKind#NOT_QUARANTINED} for any other.
+ * The quarantine API, for request contents that entries refuse because they crashed endpoints:
+ * {@code GET /v1/quarantine} lists the contents by their fingerprints, {@code DELETE
+ * /v1/quarantine/FINGERPRINT} lifts the quarantine of a content at all entries and responds with
+ * {@link ErrorKind#NOT_QUARANTINED} if the content is not quarantined.
  */
 final class QuarantineApi {
   private static final System.Logger LOG = System.getLogger(QuarantineApi.class.getName());
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Role.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Role.java
@@ -1,13 +1,13 @@
 package org.lacewingcroft.daemon;
 
-/** What a daemon does, from {@code --role}. */
+/** The role of a daemon, as set by {@code --role}. */
 public enum Role {
-  /** Serves callers, takes endpoint announcements and routes requests. */
+  /** Accepts requests of callers and announcements of endpoints, and routes the requests. */
   ENTRY,
-  /** Keeps the replicated configuration log on an instance with a disk. */
+  /** Stores the replicated configuration log on an instance with a disk. */
   CONTROL;
 
-  /** Returns the role as written in flags and peer messages. */
+  /** Returns the name of the role in flags, peer messages and log lines. */
   public String spelling() {
     return name().toLowerCase(java.util.Locale.ROOT);
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Settings.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Settings.java
@@ -8,32 +8,35 @@
 import org.lacewingcroft.routing.RoutingPolicies;
 
 /**
- * The daemon's checked settings. Built from flags and environment variables by {@link Main} and
- * checked by {@link #check()}, which throws a {@link SettingsException} naming the flag.
+ * The settings of a daemon. {@link Main} creates them from flags and environment variables, and
+ * {@link #check()} validates them and throws a {@link SettingsException} that names a wrong flag.
  *
  * @param role entry or control
- * @param nodeId unique id of this daemon, used in logs and membership
- * @param region the region it runs in
+ * @param nodeId the unique id of this daemon, used in log lines and in the membership
+ * @param region the region in which the daemon runs
  * @param failureDomain the failure domain inside the region
  * @param host the loopback or private address to listen on and advertise
- * @param httpPort HTTP port; 0 picks a free one
- * @param peerPort peer transport port; 0 picks a free one
- * @param peers seed peer addresses {@code host:port}, at least one control daemon's for entries
- * @param dataDir the data folder (control role only): the configuration log lives here
- * @param controlGroup node ids of the control group (control role only); empty means this node
- *     alone
- * @param bootstrap true on the deployment's first start only: an empty data folder may then vote
- * @param faultInjection whether {@code POST /v1/faults} may cut and delay links, for experiments
- * @param secret the shared secret authenticating peer frames, at least 16 bytes
- * @param routingPolicy the routing policy's name
- * @param maxBodyBytes largest caller request body accepted
- * @param maxInFlight requests in flight at which an entry refuses further ones
- * @param hedgeAfter how long an idempotent request waits before it is sent to a second endpoint;
- *     zero for never
- * @param endpointLease how long an endpoint's announcement lasts without a heartbeat
- * @param heartbeatInterval how often daemons send heartbeats to each other
- * @param drainTimeout how long a graceful shutdown waits for requests in flight
- * @param portFile where to write the chosen ports as JSON once listening, if set
+ * @param httpPort the HTTP port; 0 selects a free port
+ * @param peerPort the port of the peer transport; 0 selects a free port
+ * @param peers peer addresses {@code host:port} of the seeds; an entry needs at least that of one control
+ *     daemon
+ * @param dataDir the data folder, which holds the configuration log (control role only)
+ * @param controlGroup node ids of the control group (control role only); if empty, this node is the
+ *     only member
+ * @param bootstrap true only on the deployment's first start: a member with an empty data folder may
+ *     vote then
+ * @param faultInjection whether {@code POST /v1/faults} may inject partitions and delays on links, for
+ *     experiments
+ * @param secret the shared secret that authenticates peer frames, at least 16 bytes
+ * @param routingPolicy the name of the routing policy
+ * @param maxBodyBytes maximum size of a caller's request body, in bytes
+ * @param maxInFlight maximum number of requests in flight; an entry refuses further ones
+ * @param hedgeAfter wait before an idempotent request is also sent to a second endpoint; zero disables
+ *     hedging
+ * @param endpointLease how long an endpoint stays registered after its last announcement
+ * @param heartbeatInterval interval of the heartbeats between daemons
+ * @param drainTimeout maximum wait of a graceful shutdown for requests in flight
+ * @param portFile the file to which the bound ports are written as JSON once the daemon listens, if set
  */
 public record Settings(
     Role role,
@@ -58,16 +61,17 @@
     Duration drainTimeout,
     Optional<Path> portFile) {
 
-  /** Copies the lists so the settings are immutable. */
+  /** Copies the lists so that the settings are immutable. */
   public Settings {
     peers = List.copyOf(peers);
     controlGroup = List.copyOf(controlGroup);
   }
 
   /**
-   * Checks every setting and returns this.
+   * Validates every setting and returns this object.
    *
-   * @throws SettingsException naming the first wrong flag and its remedy
+   * @throws SettingsException if a setting is missing or wrong; names the first such flag and a
+   *     remedy
    */
   public Settings check() {
     require(nodeId, "--node-id", "LWC_NODE_ID", "a unique name such as uusimaa-entry-1");
@@ -83,7 +87,7 @@
         d -> {
           if (Files.exists(d) && !Files.isDirectory(d)) {
             throw new SettingsException(
-                "--data-dir", "LWC_DATA_DIR", d + " is not a folder", "name a folder");
+                "--data-dir", "LWC_DATA_DIR", d + " is not a folder", "set the path of a folder");
           }
         });
     if (!controlGroup.isEmpty() && role == Role.CONTROL && !controlGroup.contains(nodeId)) {
@@ -97,7 +101,7 @@
       throw new SettingsException(
           "--control-group",
           "LWC_CONTROL_GROUP",
-          controlGroup.size() + " members tolerate no more failures than one fewer",
+          controlGroup.size() + " members tolerate no more failures than one member fewer",
           "list an odd number of node ids, 3 or 5");
     }
     if (role == Role.ENTRY && peers.isEmpty()) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/SettingsException.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/SettingsException.java
@@ -1,6 +1,6 @@
 package org.lacewingcroft.daemon;
 
-/** A setting from a flag or environment variable is missing or wrong; names flag and remedy. */
+/** Thrown if a setting is missing or wrong; the message names the flag, its variable and a remedy. */
 public class SettingsException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
@@ -9,8 +9,8 @@
    *
    * @param flag the flag, such as {@code --region}
    * @param environment the environment variable that may set it instead
-   * @param problem what is wrong
-   * @param remedy what to set instead
+   * @param problem what is wrong with the value
+   * @param remedy how to correct it
    */
   public SettingsException(String flag, String environment, String problem, String remedy) {
     super(flag + " (or $" + environment + "): " + problem + "; " + remedy);
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/logging/JsonLogger.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/logging/JsonLogger.java
@@ -9,11 +9,11 @@
 import java.util.ResourceBundle;
 
 /**
- * A {@link System.Logger} writing one JSON object per line.
+ * A {@link System.Logger} that writes one JSON object per line.
  *
- * <p>Convention: the message is the event name (such as {@code request.served}) and the parameters
- * are key-value pairs ({@code "request", id, "endpoint", e}); each pair becomes a field. Every line
- * carries {@code ts}, {@code hlc}, {@code node}, {@code level}, {@code logger} and {@code event}.
+ * <p>By convention, the message is the event name (such as {@code request.served}) and the
+ * parameters are key-value pairs ({@code "request", id, "endpoint", e}); each pair becomes a field.
+ * Every line contains {@code ts}, {@code hlc}, {@code node}, {@code level}, {@code logger} and {@code event}.
  */
 final class JsonLogger implements System.Logger {
   private static final JsonFactory JSON = new JsonFactory();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/logging/JsonLoggerFinder.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/logging/JsonLoggerFinder.java
@@ -1,10 +1,11 @@
 package org.lacewingcroft.logging;
 
 /**
- * Gives every {@link System.Logger} of the process a {@link JsonLogger}. Registered through {@code
- * META-INF/services/java.lang.System$LoggerFinder}.
+ * Provides a {@link JsonLogger} for every {@link System.Logger} of the process. Registered through
+ * {@code META-INF/services/java.lang.System$LoggerFinder}.
  *
- * <p>The level is read from the environment variable {@code LWC_LOG_LEVEL} (default {@code INFO}).
+ * <p>The level is read from the environment variable {@code LWC_LOG_LEVEL} (default and fallback for an invalid value: {@code
+ * INFO}).
  */
 public final class JsonLoggerFinder extends System.LoggerFinder {
   private final System.Logger.Level threshold = levelFromEnvironment();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/logging/LogContext.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/logging/LogContext.java
@@ -5,10 +5,11 @@
 import org.lacewingcroft.misc.HybridLogicalClock;
 
 /**
- * Process-wide facts every log line carries: the node id and the hybrid logical clock.
+ * Process-wide values that are written in every log line: the node id and the time of the hybrid
+ * logical clock.
  *
- * <p>Set once at start-up by the process's main; peers merge received stamps through {@link
- * #clock()} so the time line of many processes orders causally.
+ * <p>The main class sets the node id once at start-up. The peer transport merges received timestamps
+ * through {@link #clock()}, so that the log lines of many processes can be ordered causally.
  */
 public final class LogContext {
   private static volatile String nodeId = "unnamed";
@@ -18,24 +19,24 @@
 
   private LogContext() {}
 
-  /** Sets the node id printed on every line. */
+  /** Sets the node id that is written in every line. */
   public static void setNodeId(String id) {
     nodeId = id;
   }
 
-  /** Returns the node id printed on every line. */
+  /** Returns the node id that is written in every line. */
   public static String nodeId() {
     return nodeId;
   }
 
-  /** Returns the process's hybrid logical clock. */
+  /** Returns the hybrid logical clock of the process. */
   public static HybridLogicalClock clock() {
     return CLOCK;
   }
 
   /**
-   * Sends this process's log lines to standard output, through a bounded queue that never blocks
-   * the logging thread. Until then they go to standard error as they are logged.
+   * Redirects the log lines of this process to standard output, through a bounded queue that never
+   * blocks the logging thread. Before this call, lines are written directly to standard error.
    */
   public static void logToStandardOutput() {
     writer = Optional.of(LogWriter.toStandardOutput());
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/logging/LogWriter.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/logging/LogWriter.java
@@ -12,12 +12,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Writes log lines on a thread of its own, so that a reader that is slow or gone never holds up a
- * request: lines wait in a bounded queue, and once it is full they are dropped and counted. The
- * count is logged with the next line that gets through.
+ * Writes log lines on a separate thread, so that a slow or closed reader of the output never delays
+ * a request: lines wait in a bounded queue, and while it is full, further lines are dropped and
+ * counted. The count is logged with the next line that is written.
  */
 public final class LogWriter {
-  /** Lines that may wait: some seconds of a busy entry, about 2 MB. */
+  /** Capacity of the queue: the lines of several seconds of a busy entry, about 2 MB. */
   private static final int QUEUE_LINES = 8_192;
 
   private static final int BATCH_LINES = 256;
@@ -26,7 +26,7 @@
   private final AtomicLong dropped = new AtomicLong();
   private final OutputStream out;
 
-  /** Starts a writer to standard output. */
+  /** Creates and starts a writer to standard output. */
   static LogWriter toStandardOutput() {
     LogWriter writer = new LogWriter(new FileOutputStream(java.io.FileDescriptor.out));
     writer.start();
@@ -44,7 +44,7 @@
     Runtime.getRuntime().addShutdownHook(new Thread(this::flushAtExit, "log-flush"));
   }
 
-  /** Hands a line over; returns at once. */
+  /** Queues a line, or drops and counts it if the queue is full; never blocks. */
   void offer(String line) {
     if (!queue.offer(line)) {
       dropped.incrementAndGet();
@@ -61,7 +61,7 @@
     }
   }
 
-  /** Writes a line and those waiting behind it in one system call. */
+  /** Writes a line and the lines queued after it in one system call. */
   void writeBatch(String first) {
     List<String> lines = new ArrayList<>();
     lines.add(first);
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/metrics/GatewayMetrics.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/metrics/GatewayMetrics.java
@@ -18,7 +18,7 @@
 
   private final PrometheusRegistry registry = new PrometheusRegistry();
 
-  /** Caller requests by outcome: served, not_run, outcome_unknown, forwarded, bad_request. */
+  /** Requests of callers by outcome, such as served, forwarded, not_run or outcome_unknown. */
   public final Counter requests =
       Counter.builder()
           .name("lwc_requests_total")
@@ -26,7 +26,7 @@
           .labelNames("outcome")
           .register(registry);
 
-  /** Sends beyond a request's first, by reason: retry, hedge. */
+  /** Extra sends, which are all sends of a request after its first, by reason: retry, hedge. */
   public final Counter retries =
       Counter.builder()
           .name("lwc_extra_sends_total")
@@ -34,58 +34,58 @@
           .labelNames("reason")
           .register(registry);
 
-  /** At-most-once records held as a replica. */
+  /** At-most-once records that this daemon holds as a replica. */
   public final Gauge keyRecords =
       Gauge.builder().name("lwc_key_records").help("At-most-once records held").register(registry);
 
-  /** The configuration version in force. */
+  /** The active configuration version. */
   public final Gauge configVersion =
       Gauge.builder()
           .name("lwc_config_version")
           .help("Configuration version in force on this daemon")
           .register(registry);
 
-  /** Endpoints in the directory. */
+  /** The number of endpoints in the directory. */
   public final Gauge endpoints =
       Gauge.builder().name("lwc_endpoints").help("Endpoints known").register(registry);
 
-  /** Contents that are not run any more because endpoints ended under them. */
+  /** Request contents that are quarantined because they crashed endpoints. */
   public final Gauge quarantinedContents =
       Gauge.builder()
           .name("lwc_quarantined_contents")
           .help("Contents not run any more because endpoints broke off under them")
           .register(registry);
 
-  /** Members in the membership table. */
+  /** The number of members in the membership table. */
   public final Gauge members =
       Gauge.builder().name("lwc_members").help("Daemons known").register(registry);
 
-  /** Peer frames refused for size or authentication. */
+  /** Peer frames rejected for their size or authentication tag. */
   public final Gauge framesRejected =
       Gauge.builder()
           .name("lwc_peer_frames_rejected")
           .help("Peer frames refused for size or tag")
           .register(registry);
 
-  /** Configuration offers refused because they were not newer than the version in force. */
+  /** Configuration offers rejected because they were not newer than the active version. */
   public final Gauge staleConfigOffers =
       Gauge.builder()
           .name("lwc_config_stale_offers")
           .help("Configuration offers refused as older or equal")
           .register(registry);
 
-  /** Requests in flight through this daemon. */
+  /** The number of requests in flight through this daemon. */
   public final Gauge inFlight =
       Gauge.builder().name("lwc_in_flight").help("Requests in flight").register(registry);
 
-  /** Time from receiving a request to relaying its first byte of answer. */
+  /** Seconds from the receipt of a request until the first byte of its response is relayed. */
   public final Histogram firstByteSeconds =
       Histogram.builder()
           .name("lwc_first_byte_seconds")
           .help("Seconds from request to the first answer byte relayed")
           .register(registry);
 
-  /** Time from receiving a request to its end, whatever that was. */
+  /** Seconds from the receipt of a request to its end, by outcome. */
   public final Histogram requestSeconds =
       Histogram.builder()
           .name("lwc_request_seconds")
@@ -93,7 +93,7 @@
           .labelNames("outcome")
           .register(registry);
 
-  /** Where requests were placed: here, elsewhere, or refused by reason. */
+  /** Placement decisions: in this region, in another region, or the reason for a refusal. */
   public final Counter placements =
       Counter.builder()
           .name("lwc_placements_total")
@@ -101,7 +101,7 @@
           .labelNames("where")
           .register(registry);
 
-  /** Tries that did not bring an answer, by what the target did. */
+  /** Attempts that received no response, by what the target did. */
   public final Counter triesFailed =
       Counter.builder()
           .name("lwc_tries_failed_total")
@@ -109,7 +109,7 @@
           .labelNames("what")
           .register(registry);
 
-  /** Endpoints' announcements that a control instance took, by whether it acknowledged them. */
+  /** Endpoint announcements received by a control instance, by whether it acknowledged them. */
   public final Counter announcements =
       Counter.builder()
           .name("lwc_announcements_total")
@@ -117,7 +117,7 @@
           .labelNames("acknowledged")
           .register(registry);
 
-  /** Operators' orders and reads at a control instance. */
+  /** Operator orders and reads at a control instance, by kind and by whether they were confirmed. */
   public final Counter orders =
       Counter.builder()
           .name("lwc_orders_total")
@@ -125,14 +125,14 @@
           .labelNames("order", "confirmed")
           .register(registry);
 
-  /** Time from an operator's order to its confirmation or to giving it up. */
+  /** Seconds from an operator order until it is confirmed or given up. */
   public final Histogram orderSeconds =
       Histogram.builder()
           .name("lwc_order_seconds")
           .help("Seconds from an operator's order to its answer")
           .register(registry);
 
-  /** Exposes what the messages between instances cost, by kind. */
+  /** Registers metrics for the messages between instances by kind. */
   public void expose(PeerTraffic traffic) {
     exposeByDirection(
         "lwc_peer_messages_total",
@@ -180,7 +180,7 @@
         .register(registry);
   }
 
-  /** Returns the text exposition of every metric. */
+  /** Returns all metrics in the Prometheus text format. */
   public String scrape() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     try {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/LinkFaults.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/LinkFaults.java
@@ -6,12 +6,12 @@
 
 /**
  * Faults that experiments inject on the links from this daemon to other regions: a partition from
- * some regions, and a one-way delay to all others.
+ * given regions, and a one-way delay to all others.
  *
- * @param localRegion this daemon's region; links inside it are never touched
- * @param cutRegions the regions this daemon cannot reach
+ * @param localRegion this daemon's region; links inside it are not affected
+ * @param cutRegions the regions that this daemon cannot reach
  * @param delayMillis one-way delay of peer frames to other regions, in milliseconds
- * @param regionOfPeer finds the region of a peer address
+ * @param regionOfPeer returns the region of a peer address, or empty if it is unknown
  */
 public record LinkFaults(
     String localRegion,
@@ -21,22 +21,25 @@
   /** No faults. */
   public static final LinkFaults NONE = new LinkFaults("", Set.of(), 0, a -> Optional.empty());
 
-  /** Copies the region set so the faults are immutable. */
+  /** Copies the set of regions so that the record is immutable. */
   public LinkFaults {
     cutRegions = Set.copyOf(cutRegions);
   }
 
-  /** Returns whether a region cannot be reached. */
+  /** Returns whether a region is unreachable from this daemon. */
   public boolean isCut(String region) {
     return cutRegions.contains(region);
   }
 
-  /** Returns whether frames to a peer address are lost; a peer not known yet is lost too. */
+  /**
+   * Returns whether frames to a peer address are dropped. While any region is cut off, so are peers
+   * whose region is unknown.
+   */
   boolean cutsPeer(String address) {
     return !cutRegions.isEmpty() && regionOfPeer.apply(address).map(this::isCut).orElse(true);
   }
 
-  /** Returns the one-way delay of frames to a peer address. */
+  /** Returns the one-way delay of frames to a peer address, in milliseconds. */
   long delayMillis(String address) {
     if (delayMillis == 0) {
       return 0;
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/LoopbackPorts.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/LoopbackPorts.java
@@ -8,18 +8,18 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Free ports for a program that starts a whole deployment on this machine and has to know the
- * addresses before anything listens.
+ * Allocates free ports for a program that starts a whole deployment on this machine and needs the
+ * addresses before anything listens on them.
  *
- * <p>The ports lie below those that the kernel gives to outgoing connections. A port that was asked
- * for as port 0 and released comes from that range, and a connection may take it before its
- * listener does.
+ * <p>The ports are below the ephemeral range, from which the kernel assigns ports to outgoing
+ * connections. A port obtained by binding port 0 and releasing it is in that range, so an outgoing
+ * connection may take it before its listener does.
  */
 public final class LoopbackPorts {
-  /** The lowest port given, above those that well-known services register most. */
+  /** The lowest port allocated, above most ports that are registered for well-known services. */
   static final int LOWEST = 20_000;
 
-  /** One above the highest port given: outgoing connections begin at 32768 on Linux. */
+  /** One above the highest port allocated: the ephemeral range starts at 32768 on Linux. */
   static final int END = 32_000;
 
   private static final int TRIES = 1_000;
@@ -28,20 +28,20 @@
   private LoopbackPorts() {}
 
   /**
-   * Returns a port that is free at every local address, and is not returned again in this process.
+   * Returns a port that is free on every local address. It is not returned again in this process.
    *
-   * @throws IOException if none is found
+   * @throws IOException if no free port is found
    */
   public static int free() throws IOException {
     return neighbours(1);
   }
 
   /**
-   * Returns the first of some neighbouring ports that are free at every local address, and are not
-   * returned again in this process.
+   * Returns the first of a range of consecutive ports that are free on every local address. None of
+   * them is returned again in this process.
    *
-   * @param count how many neighbours
-   * @throws IOException if none are found
+   * @param count the number of ports
+   * @throws IOException if no such range is found
    */
   public static synchronized int neighbours(int count) throws IOException {
     for (int i = 0; i < TRIES; i++) {
@@ -54,7 +54,7 @@
       }
     }
     throw new BindException(
-        "no " + count + " neighbouring ports are free from " + LOWEST + " to " + (END - 1));
+        "no " + count + " consecutive ports are free from " + LOWEST + " to " + (END - 1));
   }
 
   private static boolean areFree(int first, int count) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/Membership.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/Membership.java
@@ -14,8 +14,8 @@
 import org.lacewingcroft.membership.MemberTable;
 
 /**
- * The membership of one daemon: gossips in every interval as its {@link Gossiper} decides, and
- * keeps what it hears as an immutable {@link MemberTable} behind an {@link AtomicReference}.
+ * The membership of one daemon: sends gossip in every interval as its {@link Gossiper} decides, and
+ * records received gossip in an immutable {@link MemberTable} behind an {@link AtomicReference}.
  */
 public final class Membership {
   private static final System.Logger LOG = System.getLogger(Membership.class.getName());
@@ -35,8 +35,8 @@
   /**
    * Creates the membership of one daemon.
    *
-   * @param self how this daemon describes itself
-   * @param seeds peer addresses to gossip to before anything is known
+   * @param self the description of this daemon
+   * @param seeds peer addresses to gossip to before any member is known
    * @param transport the peer transport
    * @param clock the time source
    * @param interval the gossip interval
@@ -66,9 +66,9 @@
   }
 
   /**
-   * Records gossip received from a peer, and answers one that looks for members of its region.
+   * Records gossip received from a peer, and replies to a peer that requests members of its region.
    *
-   * @param configVersion the version in force here
+   * @param configVersion the configuration version that is active on this daemon
    */
   public void onGossip(PeerMessage.Gossip gossip, long configVersion) {
     MemberTable current = table.updateAndGet(t -> t.heard(gossip, clock.instant()));
@@ -79,8 +79,9 @@
   }
 
   /**
-   * Returns whether this daemon has taken part without a break for long enough to know its region's
-   * members. Until then it must not take itself for the only one responsible for anything.
+   * Returns whether this daemon has exchanged gossip without interruption for long enough to know
+   * the members of its region. Until then it must not assume that it alone is responsible for
+   * anything.
    */
   public boolean converged() {
     return !brokeOff()
@@ -91,8 +92,8 @@
   }
 
   /**
-   * Returns whether this daemon has not run for so long that others suspect it, as when its
-   * instance is frozen.
+   * Returns whether this daemon has sent no gossip for so long that others suspect it, such as when
+   * its instance was frozen.
    */
   private boolean brokeOff() {
     return lastBeatAt
@@ -117,19 +118,22 @@
     }
   }
 
-  /** After a break, judges the others' silence from now on and settles again. */
+  /**
+   * Restarts failure detection after a stall: the time without heartbeats of every other member is
+   * measured from now on, and this daemon has to converge again.
+   */
   private void startAnew() {
     LOG.log(System.Logger.Level.WARNING, "membership.broke_off", "node", self.nodeId());
     firstHeardAt.set(Optional.empty());
     table.updateAndGet(t -> t.allHeardAt(clock.instant()));
   }
 
-  /** Returns the peer address of a member, if it is known. */
+  /** Returns the peer address of a member, or empty if it is unknown. */
   public Optional<String> addressOf(String nodeId) {
     return table.get().get(nodeId).map(m -> m.info().peerAddress());
   }
 
-  /** Returns the region of the member that listens on a peer address, if it is known. */
+  /** Returns the region of the member with a peer address, or empty if it is unknown. */
   public Optional<String> regionOf(String peerAddress) {
     return table.get().all().stream()
         .map(Member::info)
@@ -143,7 +147,7 @@
     transport.send(peerAddress, message);
   }
 
-  /** Sends a message to the entries known in this daemon's region. */
+  /** Sends a message to the known entries of this daemon's region. */
   public void sendToRegionEntries(PeerMessage message) {
     for (Member m : table.get().known(MemberInfo.ENTRY, self.region())) {
       transport.send(m.info().peerAddress(), message);
@@ -151,10 +155,10 @@
   }
 
   /**
-   * Spreads a message as a rumour: to a few random members of the region, and to one contact of
-   * each other region if asked to.
+   * Spreads a message by gossip: sends it to {@link Gossiper#FANOUT} random members of the region
+   * and, optionally, to one random member of each other region.
    *
-   * @param acrossRegions whether other regions are told too
+   * @param acrossRegions whether to send the message to other regions too
    */
   public void sendToRandomMembers(PeerMessage message, boolean acrossRegions) {
     List<Member> inRegion = new ArrayList<>();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/PeerTraffic.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/PeerTraffic.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * What the messages between instances cost, by kind: how many, how many bytes, and the time spent
- * on them. It tells which kind of message fills an instance's processor or link.
+ * Counts messages between instances, their bytes and the time spent on processing them, by kind of
+ * message. Shows which kind of message loads the processor or the link of an instance.
  */
 public final class PeerTraffic {
   private final Map<Class<?>, Row> rows = new ConcurrentHashMap<>();
@@ -23,16 +23,16 @@
   /**
    * The totals of one kind of message.
    *
-   * @param sent messages sent, each receiver counted
-   * @param sentBytes their bytes, frames included
+   * @param sent messages sent, counted once per receiver
+   * @param sentBytes bytes of the sent messages, including frame overhead
    * @param received messages received
-   * @param receivedBytes their bytes
-   * @param workNanos time spent on encoding, decoding and handling them
+   * @param receivedBytes bytes of the received messages
+   * @param workNanos time spent on encoding, decoding and handling, in nanoseconds
    */
   public record Totals(
       long sent, long sentBytes, long received, long receivedBytes, long workNanos) {}
 
-  /** Counts a message sent to some receivers. */
+  /** Records a message sent to a number of receivers. */
   void sent(PeerMessage message, int receivers, int frameBytes, long encodeNanos) {
     Row row = row(message);
     row.sent.add(receivers);
@@ -40,7 +40,7 @@
     row.workNanos.add(encodeNanos);
   }
 
-  /** Counts a message received. */
+  /** Records a received message. */
   void received(PeerMessage message, int bytes, long decodeNanos) {
     Row row = row(message);
     row.received.increment();
@@ -48,7 +48,7 @@
     row.workNanos.add(decodeNanos);
   }
 
-  /** Adds the time that was spent on handling a message. */
+  /** Records the time spent on handling a message. */
   public void handled(PeerMessage message, long nanos) {
     row(message).workNanos.add(nanos);
   }
@@ -58,7 +58,7 @@
     return rows.computeIfAbsent(kind.getClass(), k -> new Row());
   }
 
-  /** Returns the totals by kind. */
+  /** Returns the totals by kind, which is the simple class name of the message. */
   public Map<String, Totals> totals() {
     Map<String, Totals> totals = new TreeMap<>();
     rows.forEach(
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/PeerTransport.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/PeerTransport.java
@@ -19,23 +19,24 @@
 import org.lacewingcroft.logging.LogContext;
 
 /**
- * The peer transport: TCP connections carrying frames of {@link FrameCodec}, one outgoing
- * connection per peer address, reopened on demand after a failure.
+ * The peer transport: TCP connections that carry frames of {@link FrameCodec}, with one outgoing
+ * connection per peer address, which is reopened on demand after a failure.
  *
- * <p>A frame that is too large or fails authentication closes the connection it came on and is
- * logged; nothing in it is acted on. Sends are fire-and-forget: callers that need an answer get it
- * as another message, and heartbeats repair what a lost frame missed.
+ * <p>A frame that is too large or fails authentication is logged and discarded, and its connection
+ * is closed. Sends are fire-and-forget: a response, where one is needed, arrives as a separate
+ * message, and heartbeats make up for lost frames.
  */
 public final class PeerTransport implements AutoCloseable {
   private static final System.Logger LOG = System.getLogger(PeerTransport.class.getName());
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
-  /** Pause between checks of a connection in use. */
+  /** Interval between liveness checks of a connection in use. */
   private static final long PING_MILLIS = 1_000;
 
   /**
-   * Silence after a ping that proves a connection dead, in ms: several round trips between regions
-   * and a resent packet. A link that went silent without a reset is noticed by nothing else.
+   * Time without data after a ping after which a connection counts as dead: several round trips
+   * between regions and a retransmitted packet. Nothing else detects a link that stops delivering
+   * without a TCP reset.
    */
   private static final long DEAD_MILLIS = 1_300;
 
@@ -52,10 +53,10 @@
   private NetServer server;
 
   /**
-   * Creates the transport.
+   * Creates a transport that does not listen yet.
    *
-   * @param vertx the Vert.x instance whose event loops run it
-   * @param codec the frame codec keyed by the shared secret
+   * @param vertx the Vert.x instance whose event loops run the transport
+   * @param codec the frame codec, keyed with the shared secret
    */
   public PeerTransport(Vertx vertx, FrameCodec codec) {
     this.vertx = vertx;
@@ -65,12 +66,13 @@
   }
 
   /**
-   * Starts listening.
+   * Starts listening for connections of peers.
    *
    * @param host the address to bind
    * @param port the port, 0 for a free one
-   * @param handler receives every authenticated message with the sender's stamp
-   * @return the port bound
+   * @param handler receives every authenticated message with the sender's hybrid logical clock
+   *     timestamp
+   * @return the bound port
    */
   public Future<Integer> listen(String host, int port, BiConsumer<String, PeerMessage> handler) {
     server = vertx.createNetServer(new NetServerOptions().setHost(host).setPort(port));
@@ -78,27 +80,27 @@
     return server.listen().map(NetServer::actualPort);
   }
 
-  /** Sets the faults that experiments inject on the links to peers. */
+  /** Sets the faults to inject on the links to peers, for experiments. */
   public void setFaults(LinkFaults injected) {
     this.faults = injected;
   }
 
-  /** Returns how many frames were refused for size or tag. */
+  /** Returns the number of frames rejected for their size or authentication tag. */
   public long framesRejected() {
     return framesRejected.get();
   }
 
-  /** Returns what the messages cost by kind. */
+  /** Returns the message counters by kind. */
   public PeerTraffic traffic() {
     return traffic;
   }
 
-  /** Returns the bytes sent, frames included. */
+  /** Returns the number of bytes sent, including frame overhead. */
   public long bytesSent() {
     return bytesSent.get();
   }
 
-  /** Returns the bytes received. */
+  /** Returns the number of bytes received. */
   public long bytesReceived() {
     return bytesReceived.get();
   }
@@ -108,7 +110,7 @@
     sendAll(List.of(address), message);
   }
 
-  /** Sends a message to several peer addresses; it is encoded and authenticated once. */
+  /** Sends a message to several peer addresses, encoding and authenticating it only once. */
   public void sendAll(Collection<String> addresses, PeerMessage message) {
     if (addresses.isEmpty()) {
       return;
@@ -179,7 +181,7 @@
         });
   }
 
-  /** Closes a connection on which a ping stays unanswered. */
+  /** Pings the peer of a connection in use and closes the connection if no data arrives in time. */
   private final class Watch {
     private final NetSocket socket;
     private final long timer;
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/SocketAddresses.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/SocketAddresses.java
@@ -2,15 +2,15 @@
 
 import io.vertx.core.net.SocketAddress;
 
-/** Addresses as settings, announcements and messages write them. */
+/** Parses socket addresses as written in settings, announcements and messages. */
 public final class SocketAddresses {
   private SocketAddresses() {}
 
   /**
-   * Reads an address.
+   * Parses an address.
    *
    * @param text {@code host:port}
-   * @throws IllegalArgumentException if the port is no number
+   * @throws IllegalArgumentException if the port is not a number
    */
   public static SocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/control/DurableLogTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/control/DurableLogTest.java
@@ -128,7 +128,10 @@
     }
   }
 
-  /** Crashes the disk on demand: a sync fails, and what was written since the last one is lost. */
+  /**
+   * Fails syncs on demand and records the length at the last successful sync, so that a test can
+   * discard what was written after it.
+   */
   private static final class FailingDisk implements DurableFile.Sync {
     boolean failing;
     long syncedBytes;
@@ -136,14 +139,14 @@
     @Override
     public void force(FileChannel channel) throws IOException {
       if (failing) {
-        throw new IOException("the disk is gone");
+        throw new IOException("disk failure");
       }
       channel.force(true);
       syncedBytes = channel.size();
     }
   }
 
-  /** A crash between write and sync keeps none, a part or all of the write. */
+  /** After a crash between write and sync, none, a part or all of the write is on disk. */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.1, 0.5, 0.9, 1})
   void crashBetweenWriteAndSyncLosesNothingAcknowledged(double keptShare) throws IOException {
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/control/RoutingControlTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/control/RoutingControlTest.java
@@ -19,7 +19,10 @@
 import org.lacewingcroft.consensus.ConfigState;
 import org.lacewingcroft.consensus.Snapshot;
 
-/** A control instance whose disk fails takes no part any more, and goes on from what is on disk. */
+/**
+ * Checks that a control instance stops taking part and reports no majority when its disk fails, and
+ * that a new one resumes from the state on disk.
+ */
 class RoutingControlTest {
   private static final String SELF = "10.0.0.1:7660";
 
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/ConfigPatchApiTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/ConfigPatchApiTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A patch reaches the entries and leaves what it does not name as it was. */
+/** Checks that a patch reaches the entries and does not change what it does not name. */
 class ConfigPatchApiTest {
   @Test
   void patchesAreInForceAtTheEntries(@TempDir Path dir) throws Exception {
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/CrashingContentTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/CrashingContentTest.java
@@ -25,10 +25,10 @@
 import org.lacewingcroft.daemon.FakeEndpoint.Behaviour;
 
 /**
- * The product's own interface has the fault that ended engines on the users' platform: the same
- * content comes again and again, and each endpoint that is given it breaks off. An entry tries up
- * to four endpoints for one idempotent request, so a single one reached more of them here than
- * there: eleven calls at two entries reached ten endpoints 44 times.
+ * Guards against request content that crashes endpoints being sent to endpoint after endpoint:
+ * callers resend the same content, and each endpoint that runs it crashes. An entry
+ * tries up to four endpoints for one idempotent request, so that without a quarantine eleven calls
+ * at two entries reached ten endpoints 44 times.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class CrashingContentTest {
@@ -37,7 +37,7 @@
   private static final int ENDPOINTS = 10;
   private static final int CALLS = 12;
 
-  /** Endpoints that may end, and sends that may reach one after that. */
+  /** Endpoints that may crash, plus sends that may still reach an endpoint after that. */
   private static final int TOLERATED_RUNS = 3 + 3;
 
   private final Vertx vertx = Vertx.vertx();
@@ -132,7 +132,7 @@
     return cluster.send(entry, "DELETE", path, Map.of(), "");
   }
 
-  /** A connection that closes is no end of the endpoint behind it, however often it happens. */
+  /** Closed connections alone do not count as crashes of the endpoint, however often they occur. */
   @ParameterizedTest
   @EnumSource(Sent.class)
   void contentWhoseConnectionsCloseIsServedAfterwards(Sent sent) throws Exception {
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/DaemonApiTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/DaemonApiTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Contract of the caller, announce and configuration APIs: each bad input gets a typed error that
- * names a remedy, reaches no endpoint and changes nothing.
+ * Checks the contract of the caller, announcement and configuration APIs: each invalid input
+ * receives a typed error that names a remedy, reaches no endpoint and changes nothing.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class DaemonApiTest {
@@ -60,7 +60,7 @@
     String chat = "/v1/chat/completions";
     return Stream.of(
         row("malformed JSON", chat, CALLER, "{", 400, "malformed_request"),
-        row("body is no object", chat, CALLER, "[]", 400, "malformed_request"),
+        row("body is not an object", chat, CALLER, "[]", 400, "malformed_request"),
         row("empty body", chat, CALLER, "", 400, "malformed_request"),
         row("no model", chat, CALLER, "{\"messages\":[1]}", 400, "malformed_request"),
         row("no messages", chat, CALLER, "{\"model\":\"writer\"}", 400, "malformed_request"),
@@ -112,7 +112,7 @@
     String good = String.format(ANNOUNCEMENT, 1);
     return Stream.of(
         Arguments.of("malformed JSON", "{"),
-        Arguments.of("no object", "[]"),
+        Arguments.of("not an object", "[]"),
         Arguments.of("empty", ""),
         Arguments.of("unknown key", good.replace("\"labels\":{}", "\"label\":{}")),
         Arguments.of("unknown kind", good.replace("engine", "toaster")),
@@ -138,15 +138,15 @@
     return Stream.of(
         Arguments.of("no change id", "PUT", noId, "{}", 400),
         Arguments.of("no expected version", "PUT", noVersion, "{}", 400),
-        Arguments.of("no number", "PUT", TestCluster.change("a", "one"), "{}", 400),
+        Arguments.of("version is not a number", "PUT", TestCluster.change("a", "one"), "{}", 400),
         Arguments.of("older version", "PUT", TestCluster.change("b", "0"), "{}", 409),
         Arguments.of("newer version", "PUT", TestCluster.change("c", "7"), "{}", 409),
         Arguments.of("unknown key", "PUT", TestCluster.change("d", "1"), "selektors: []", 422),
-        Arguments.of("no YAML", "PUT", TestCluster.change("e", "1"), "a: [", 422),
+        Arguments.of("not YAML", "PUT", TestCluster.change("e", "1"), "a: [", 422),
         Arguments.of("patch: no change id", "PATCH", noId, "{}", 400),
         Arguments.of("patch: older version", "PATCH", TestCluster.change("f", "0"), "{}", 409),
-        Arguments.of("patch: no mapping", "PATCH", TestCluster.change("g", "1"), "[]", 422),
-        Arguments.of("patch: unknown", "PATCH", TestCluster.change("h", "1"), removesRules, 422));
+        Arguments.of("patch: not a mapping", "PATCH", TestCluster.change("g", "1"), "[]", 422),
+        Arguments.of("patch: removes from unknown list", "PATCH", TestCluster.change("h", "1"), removesRules, 422));
   }
 
   @ParameterizedTest(name = "{0}")
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/FakeEndpoint.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/FakeEndpoint.java
@@ -14,38 +14,43 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An endpoint that answers, or fails, in one way, and counts the requests that reached it. */
+/** An endpoint that responds or fails in a fixed way, and counts the requests that reach it. */
 final class FakeEndpoint implements AutoCloseable {
-  /** How it treats requests. */
+  /** The ways in which an endpoint handles requests. */
   enum Behaviour {
-    /** Answers 200 with the request's id in the body. */
+    /** Responds with status 200 and the request's id in the body. */
     ANSWERS,
-    /** Streams two events and ends. */
+    /** Streams two events and completes the response. */
     STREAMS,
-    /** Reads the request and closes the connection. */
+    /** Reads the request and closes the connection without a response. */
     DIES_AT_ONCE,
     /**
-     * Ends if the body speaks of poison, with all its connections, and is back at its port a little
-     * later; else answers.
+     * Crashes with all its connections if the body contains "poison", and listens on its port again
+     * after {@link #DOWN_MILLIS}. Responds to other requests.
      */
     DIES_OF_POISON,
-    /** Closes the connection if the body speaks of poison, until {@link #release}; else answers. */
+    /**
+     * Closes the connection if the body contains "poison", until {@link #release}. Responds to other
+     * requests.
+     */
     DROPS_POISON,
-    /** Sends an event of a stream and closes the connection. */
+    /** Sends one event of a stream and closes the connection. */
     DIES_IN_STREAM,
-    /** Announces 100 bytes, sends 10 and closes the connection. */
+    /** Sends a Content-Length of 100 and 10 bytes of body, and closes the connection. */
     DIES_IN_BODY,
-    /** Answers 503. */
+    /** Responds with status 503. */
     REFUSES,
-    /** Answers 503 and asks for {@link #PAUSE_SECONDS} without requests, until {@link #release}. */
+    /**
+     * Responds with status 503 and requests a pause of {@link #PAUSE_SECONDS}, until {@link #release}.
+     */
     ASKS_FOR_PAUSE,
-    /** Answers with the id of another request. */
+    /** Responds with the id of another request. */
     ANSWERS_ANOTHER,
-    /** Never answers, until {@link #release}. */
+    /** Does not respond until {@link #release}. */
     HANGS
   }
 
-  /** The pause for which an endpoint asks. */
+  /** The pause that an endpoint requests by {@code Retry-After}. */
   static final int PAUSE_SECONDS = 3;
 
   private static final long DOWN_MILLIS = 200;
@@ -76,7 +81,10 @@
     return server.listen(wantedPort, "127.0.0.1");
   }
 
-  /** Ends with all its connections; the next incarnation listens at the same port. */
+  /**
+   * Closes the server with all its connections. The next incarnation listens on the same port after
+   * {@link #DOWN_MILLIS}.
+   */
   private void die(HttpServerRequest request) {
     server.close();
     request.connection().close();
@@ -91,17 +99,17 @@
     return runs.get();
   }
 
-  /** Returns when each request reached it, by {@link System#nanoTime}. */
+  /** Returns the arrival time of each request, by {@link System#nanoTime}. */
   List<Long> arrivalNanos() {
     return arrivalNanos;
   }
 
-  /** Returns how many poisonous requests reached it. */
+  /** Returns the number of requests received whose body contains "poison". */
   int poisonRuns() {
     return poisonRuns.get();
   }
 
-  /** Returns the idempotency keys of the requests that reached it. */
+  /** Returns the idempotency keys of the requests received. */
   Set<String> keysRun() {
     return keysRun;
   }
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/PausedEndpointsTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/PausedEndpointsTest.java
@@ -22,8 +22,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * While all endpoints of a model asked for pauses of three seconds, one entry sent them 41 to 68
- * requests in each: it went back to endpoints that fail as soon as there were no others.
+ * Guards against requests sent to endpoints during a pause that they requested. When all endpoints
+ * of a model requested pauses of three seconds, one entry sent them 41 to 68 requests in each pause,
+ * because it fell back to endpoints in backoff as soon as no others were left.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class PausedEndpointsTest {
@@ -32,9 +33,10 @@
   private static final Duration RUN = Duration.ofSeconds(7);
   private static final long CALL_PAUSE_MILLIS = 40;
 
-  /** The aim: no more in a pause, but for its beginning. */
+  /** Maximum number of requests that an endpoint may receive in a pause, except at its start. */
   private static final int MOST_IN_PAUSE = 2;
 
+  /** Time at the start of a pause in which requests are not counted. */
   private static final long BEGINNING_MILLIS = 500;
 
   private final Vertx vertx = Vertx.vertx();
@@ -42,7 +44,7 @@
   private TestCluster cluster;
   private Daemon entry;
 
-  /** Which of a model's endpoints ask for pauses. */
+  /** Which of a model's endpoints request pauses. */
   enum Asking {
     ONE,
     ALL
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/RequestFaultTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/RequestFaultTest.java
@@ -33,9 +33,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * What callers hear when endpoints fail: every request is answered in full or refused honestly, and
- * what may run once only is not sent again. Each test has a model of its own, with endpoints a and
- * b, of which a is tried first.
+ * Checks what callers receive when endpoints fail: every request gets a complete response or an
+ * error that correctly says whether it may have run, and a request that may run only once is not
+ * sent again. Each test uses a separate model with endpoints a and b, of which a is tried first.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class RequestFaultTest {
@@ -47,7 +47,7 @@
   private Daemon entry;
   private int models;
 
-  /** What the endpoints do with a request, and what its caller must hear. */
+  /** How the caller marks its request. */
   private enum Sent {
     IDEMPOTENT,
     KEYED
@@ -81,15 +81,15 @@
     FakeEndpoint.Behaviour steals = FakeEndpoint.Behaviour.ANSWERS_ANOTHER;
     FakeEndpoint.Behaviour hangs = FakeEndpoint.Behaviour.HANGS;
     return Stream.of(
-        row("dies, the other answers", Sent.IDEMPOTENT, dies, answers, 200, "", 2),
-        row("refuses, the other answers", Sent.IDEMPOTENT, refuses, answers, 200, "", 2),
-        row("answers another request", Sent.IDEMPOTENT, steals, answers, 200, "", 2),
-        row("hangs, the hedge answers", Sent.IDEMPOTENT, hangs, answers, 200, "", 2),
-        row("both die", Sent.IDEMPOTENT, dies, dies, 502, "outcome_unknown", 2),
-        row("both refuse", Sent.IDEMPOTENT, refuses, refuses, 503, "", 2),
-        row("dies, may run once", Sent.KEYED, dies, answers, 502, "outcome_unknown", 1),
-        row("refuses, may run once", Sent.KEYED, refuses, answers, 503, "", 1),
-        row("answers another, once", Sent.KEYED, steals, answers, 502, "outcome_unknown", 1));
+        row("connection closed, the other responds", Sent.IDEMPOTENT, dies, answers, 200, "", 2),
+        row("rejects, the other responds", Sent.IDEMPOTENT, refuses, answers, 200, "", 2),
+        row("response of another request", Sent.IDEMPOTENT, steals, answers, 200, "", 2),
+        row("hangs, the hedge responds", Sent.IDEMPOTENT, hangs, answers, 200, "", 2),
+        row("both connections closed", Sent.IDEMPOTENT, dies, dies, 502, "outcome_unknown", 2),
+        row("both reject", Sent.IDEMPOTENT, refuses, refuses, 503, "", 2),
+        row("connection closed, may run once", Sent.KEYED, dies, answers, 502, "outcome_unknown", 1),
+        row("rejects, may run once", Sent.KEYED, refuses, answers, 503, "", 1),
+        row("response of another, may run once", Sent.KEYED, steals, answers, 502, "outcome_unknown", 1));
   }
 
   private static Arguments row(
@@ -142,7 +142,7 @@
     assertThat(reply.header("Retry-After"), is(Optional.of("1")));
     FakeEndpoint back = endpoint(FakeEndpoint.Behaviour.ANSWERS);
     cluster.announce(entry, model + "-b", REGION, model, back.port(), false);
-    assertThat("the key was given back", chat(model, Optional.of("k"), Map.of()).status(), is(200));
+    assertThat("the key was released", chat(model, Optional.of("k"), Map.of()).status(), is(200));
   }
 
   @Test
@@ -173,7 +173,7 @@
     assertThat(runsInAll(), is(1));
   }
 
-  /** Deadlines so short that many are over between the claim of the key and the send. */
+  /** Uses deadlines so short that many expire between the claim of the key and the send. */
   @Test
   void neverRunsWhatItRefusedAtTheDeadline() throws Exception {
     String model = announced(FakeEndpoint.Behaviour.ANSWERS);
@@ -189,7 +189,7 @@
     }
     assertThat(chat(model, Optional.of("last"), Map.of()).status(), is(200));
     refused.retainAll(endpoints.get(0).keysRun());
-    assertThat("refused as not run, and run", refused, is(empty()));
+    assertThat("refused as not run, but run", refused, is(empty()));
   }
 
   @Test
@@ -251,11 +251,11 @@
     cluster.announce(entry, model + "-a", REGION, model, endpoints.get(0).port(), true);
     assertThat(chat(model, Optional.empty(), Map.of()).code(), is("not_run"));
     cluster.announce(entry, model + "-a", REGION, model, endpoints.get(0).port(), false);
-    assertThat("late announcement", chat(model, Optional.empty(), Map.of()).status(), is(503));
+    assertThat("announcement with an older sequence", chat(model, Optional.empty(), Map.of()).status(), is(503));
     assertThat(runsInAll(), is(1));
   }
 
-  /** Announces endpoints a, b, ... for a new model and returns the model. */
+  /** Announces endpoints a, b and so on for a new model, and returns the model. */
   private String announced(FakeEndpoint.Behaviour... behaviours) throws Exception {
     String model = "model-" + models++;
     for (int i = 0; i < behaviours.length; i++) {
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/TestCluster.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/TestCluster.java
@@ -15,7 +15,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** A control daemon and entry daemons in this process, on free ports, for tests. */
+/** A control daemon and entry daemons that run in the test process on free ports. */
 final class TestCluster implements AutoCloseable {
   static final int MAX_BODY_BYTES = 4_096;
   static final int MAX_IN_FLIGHT = 8;
@@ -27,7 +27,7 @@
   private final List<Daemon> daemons = new ArrayList<>();
   private final Daemon control;
 
-  /** An answer of a daemon; a body that is no JSON document reads as null. */
+  /** A response of a daemon; a body that is not JSON is represented by a JSON null. */
   record Reply(int status, JsonNode body, HttpResponse<String> response) {
     String code() {
       return body.path("error").path("code").asText();
@@ -55,7 +55,7 @@
     return control;
   }
 
-  /** Starts an entry and waits until it has the configuration and knows its peers. */
+  /** Starts an entry and waits until it is ready and lists all entries. */
   Daemon startEntry(String nodeId, String region, Duration hedgeAfter) throws Exception {
     Daemon entry = start(settings(Role.ENTRY, nodeId, region, hedgeAfter, null));
     await(() -> send(entry, "GET", "/readyz", Map.of(), "").status() == 200);
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/peer/LoopbackPortsTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/peer/LoopbackPortsTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Ports found free stay free until their listener comes, whatever connects meanwhile. */
+/** Checks that allocated ports stay free for their listeners, also while connections are opened. */
 class LoopbackPortsTest {
   private static final int CONNECTIONS = 400;
 
@@ -60,7 +60,7 @@
     assertThat(given, everyItem(lessThan(LoopbackPorts.END)));
   }
 
-  /** A listener at one local address makes the port unfit, for another address too. */
+  /** A port with a listener on one local address is not allocated, even if others are free. */
   @Test
   void portsInUseArePassedOver() throws IOException {
     int first = LoopbackPorts.neighbours(2);
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/peer/MembershipTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/peer/MembershipTest.java
@@ -16,7 +16,7 @@
 import org.lacewingcroft.membership.Gossiper;
 import org.lacewingcroft.membership.Liveness;
 
-/** A daemon that was frozen must not take its own silence for that of the others. */
+/** Guards against a daemon that treats the time it was frozen as missed heartbeats of others. */
 class MembershipTest {
   private static final Duration INTERVAL = Duration.ofSeconds(1);
   private static final int SETTLING_INTERVALS = 12;
@@ -47,16 +47,16 @@
     }
     assertThat(membership.converged(), is(true));
     now = now.plusSeconds(frozenSeconds);
-    assertThat("before the first beat", membership.converged(), is(settled));
+    assertThat("before the first gossip round", membership.converged(), is(settled));
     membership.beat(report());
     assertThat(membership.table().get("entry-2").isPresent(), is(true));
-    assertThat("after the first beat", membership.converged(), is(settled));
+    assertThat("after the first gossip round", membership.converged(), is(settled));
     for (int i = 1; i <= SETTLING_INTERVALS; i++) {
       now = now.plus(INTERVAL);
       hear(membership, SETTLING_INTERVALS + i);
       membership.beat(report());
     }
-    assertThat("settled again", membership.converged(), is(true));
+    assertThat("converged again", membership.converged(), is(true));
   }
 
   private static Gossiper.SelfReport report() {
