--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/ControlService.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/ControlService.java
@@ -160,8 +160,8 @@
   }
 
   /**
-   * Updates the status and activates the committed configuration in this daemon, which then notifies
-   * its peers.
+   * Updates the status and activates the committed configuration in this daemon, which then
+   * notifies its peers.
    */
   private void publish(List<LogEntry> committed) {
     ConfigState state = member.state();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/DurableFile.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/DurableFile.java
@@ -24,8 +24,8 @@
   private static final int HEADER_BYTES = 8;
 
   /**
-   * Forces written data to the storage device. Tests replace it to simulate a crash between write and
-   * sync.
+   * Forces written data to the storage device. Tests replace it to simulate a crash between write
+   * and sync.
    */
   interface Sync {
     /** Syncs the data and the length of a file. */
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Reads the records of a file up to the first torn or corrupt one; a file that does not exist has no
-   * records.
+   * Reads the records of a file up to the first torn or corrupt one; a file that does not exist has
+   * no records.
    */
   public static Contents read(Path file) throws IOException {
     List<byte[]> payloads = new ArrayList<>();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/DurableLog.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/DurableLog.java
@@ -85,9 +85,9 @@
   }
 
   /**
-   * Opens the log of a group whose members are recorded in the log itself. On the deployment's first
-   * start the founding members start from a snapshot that lists them; with any other empty data
-   * folder the instance starts as a non-voter that receives the members from the leader.
+   * Opens the log of a group whose members are recorded in the log itself. On the deployment's
+   * first start the founding members start from a snapshot that lists them; with any other empty
+   * data folder the instance starts as a non-voter that receives the members from the leader.
    *
    * @param dataDir the data folder
    * @param founders the ids of the founding members if this instance is one of them on the first
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/RoutingControl.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/RoutingControl.java
@@ -58,8 +58,8 @@
       long term) {
 
     /**
-     * Returns this view without a leader and a majority, for an instance whose data folder has failed
-     * and which therefore receives no newer state.
+     * Returns this view without a leader and a majority, for an instance whose data folder has
+     * failed and which therefore receives no newer state.
      */
     private View outOfTouch() {
       return new View(routing, false, Optional.empty(), members, term);
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
@@ -166,8 +166,8 @@
   }
 
   /**
-   * Rejects requests until all routes are mounted. The port is open before that, and callers must not
-   * receive a 404 for a route that is about to be mounted.
+   * Rejects requests until all routes are mounted. The port is open before that, and callers must
+   * not receive a 404 for a route that is about to be mounted.
    */
   private void refuseWhileStarting(RoutingContext ctx) {
     if (started) {
@@ -283,8 +283,8 @@
   }
 
   /**
-   * Sends a lagging peer the patches that it lacks, or the whole document if this daemon does not hold
-   * them all.
+   * Sends a lagging peer the patches that it lacks, or the whole document if this daemon does not
+   * hold them all.
    */
   private void answerConfigRequest(PeerMessage.ConfigRequest request) {
     ConfigStore.Applied current = configs.current();
@@ -332,8 +332,8 @@
   }
 
   /**
-   * Serves the readiness check: an entry is ready when it accepts requests of callers, a control daemon
-   * when its configuration is up to date.
+   * Serves the readiness check: an entry is ready when it accepts requests of callers, a control
+   * daemon when its configuration is up to date.
    */
   private void readyPage(RoutingContext ctx) {
     boolean ready = settings.role() == Role.ENTRY ? servesCallers() : knowsConfig();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Main.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Main.java
@@ -236,7 +236,10 @@
       return Files.readString(file).strip().getBytes(java.nio.charset.StandardCharsets.UTF_8);
     } catch (IOException e) {
       throw new SettingsException(
-          "--secret-file", "LWC_SECRET_FILE", "cannot read " + file, "check the path and its permissions");
+          "--secret-file",
+          "LWC_SECRET_FILE",
+          "cannot read " + file,
+          "check the path and its permissions");
     }
   }
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Settings.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Settings.java
@@ -18,25 +18,26 @@
  * @param host the loopback or private address to listen on and advertise
  * @param httpPort the HTTP port; 0 selects a free port
  * @param peerPort the port of the peer transport; 0 selects a free port
- * @param peers peer addresses {@code host:port} of the seeds; an entry needs at least that of one control
- *     daemon
+ * @param peers peer addresses {@code host:port} of the seeds; an entry needs at least that of one
+ *     control daemon
  * @param dataDir the data folder, which holds the configuration log (control role only)
  * @param controlGroup node ids of the control group (control role only); if empty, this node is the
  *     only member
- * @param bootstrap true only on the deployment's first start: a member with an empty data folder may
- *     vote then
- * @param faultInjection whether {@code POST /v1/faults} may inject partitions and delays on links, for
- *     experiments
+ * @param bootstrap true only on the deployment's first start: a member with an empty data folder
+ *     may vote then
+ * @param faultInjection whether {@code POST /v1/faults} may inject partitions and delays on links,
+ *     for experiments
  * @param secret the shared secret that authenticates peer frames, at least 16 bytes
  * @param routingPolicy the name of the routing policy
  * @param maxBodyBytes maximum size of a caller's request body, in bytes
  * @param maxInFlight maximum number of requests in flight; an entry refuses further ones
- * @param hedgeAfter wait before an idempotent request is also sent to a second endpoint; zero disables
- *     hedging
+ * @param hedgeAfter wait before an idempotent request is also sent to a second endpoint; zero
+ *     disables hedging
  * @param endpointLease how long an endpoint stays registered after its last announcement
  * @param heartbeatInterval interval of the heartbeats between daemons
  * @param drainTimeout maximum wait of a graceful shutdown for requests in flight
- * @param portFile the file to which the bound ports are written as JSON once the daemon listens, if set
+ * @param portFile the file to which the bound ports are written as JSON once the daemon listens, if
+ *     set
  */
 public record Settings(
     Role role,
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/SettingsException.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/SettingsException.java
@@ -1,6 +1,8 @@
 package org.lacewingcroft.daemon;
 
-/** Thrown if a setting is missing or wrong; the message names the flag, its variable and a remedy. */
+/**
+ * Thrown if a setting is missing or wrong; the message names the flag, its variable and a remedy.
+ */
 public class SettingsException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/logging/JsonLogger.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/logging/JsonLogger.java
@@ -13,7 +13,8 @@
  *
  * <p>By convention, the message is the event name (such as {@code request.served}) and the
  * parameters are key-value pairs ({@code "request", id, "endpoint", e}); each pair becomes a field.
- * Every line contains {@code ts}, {@code hlc}, {@code node}, {@code level}, {@code logger} and {@code event}.
+ * Every line contains {@code ts}, {@code hlc}, {@code node}, {@code level}, {@code logger} and
+ * {@code event}.
  */
 final class JsonLogger implements System.Logger {
   private static final JsonFactory JSON = new JsonFactory();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/logging/JsonLoggerFinder.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/logging/JsonLoggerFinder.java
@@ -4,8 +4,8 @@
  * Provides a {@link JsonLogger} for every {@link System.Logger} of the process. Registered through
  * {@code META-INF/services/java.lang.System$LoggerFinder}.
  *
- * <p>The level is read from the environment variable {@code LWC_LOG_LEVEL} (default and fallback for an invalid value: {@code
- * INFO}).
+ * <p>The level is read from the environment variable {@code LWC_LOG_LEVEL} (default and fallback
+ * for an invalid value: {@code INFO}).
  */
 public final class JsonLoggerFinder extends System.LoggerFinder {
   private final System.Logger.Level threshold = levelFromEnvironment();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/logging/LogContext.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/logging/LogContext.java
@@ -8,8 +8,9 @@
  * Process-wide values that are written in every log line: the node id and the time of the hybrid
  * logical clock.
  *
- * <p>The main class sets the node id once at start-up. The peer transport merges received timestamps
- * through {@link #clock()}, so that the log lines of many processes can be ordered causally.
+ * <p>The main class sets the node id once at start-up. The peer transport merges received
+ * timestamps through {@link #clock()}, so that the log lines of many processes can be ordered
+ * causally.
  */
 public final class LogContext {
   private static volatile String nodeId = "unnamed";
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/metrics/GatewayMetrics.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/metrics/GatewayMetrics.java
@@ -117,7 +117,9 @@
           .labelNames("acknowledged")
           .register(registry);
 
-  /** Operator orders and reads at a control instance, by kind and by whether they were confirmed. */
+  /**
+   * Operator orders and reads at a control instance, by kind and by whether they were confirmed.
+   */
   public final Counter orders =
       Counter.builder()
           .name("lwc_orders_total")
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/CrashingContentTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/CrashingContentTest.java
@@ -26,9 +26,9 @@
 
 /**
  * Guards against request content that crashes endpoints being sent to endpoint after endpoint:
- * callers resend the same content, and each endpoint that runs it crashes. An entry
- * tries up to four endpoints for one idempotent request, so that without a quarantine eleven calls
- * at two entries reached ten endpoints 44 times.
+ * callers resend the same content, and each endpoint that runs it crashes. An entry tries up to
+ * four endpoints for one idempotent request, so that without a quarantine eleven calls at two
+ * entries reached ten endpoints 44 times.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class CrashingContentTest {
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/DaemonApiTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/DaemonApiTest.java
@@ -146,7 +146,12 @@
         Arguments.of("patch: no change id", "PATCH", noId, "{}", 400),
         Arguments.of("patch: older version", "PATCH", TestCluster.change("f", "0"), "{}", 409),
         Arguments.of("patch: not a mapping", "PATCH", TestCluster.change("g", "1"), "[]", 422),
-        Arguments.of("patch: removes from unknown list", "PATCH", TestCluster.change("h", "1"), removesRules, 422));
+        Arguments.of(
+            "patch: removes from unknown list",
+            "PATCH",
+            TestCluster.change("h", "1"),
+            removesRules,
+            422));
   }
 
   @ParameterizedTest(name = "{0}")
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/FakeEndpoint.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/FakeEndpoint.java
@@ -30,8 +30,8 @@
      */
     DIES_OF_POISON,
     /**
-     * Closes the connection if the body contains "poison", until {@link #release}. Responds to other
-     * requests.
+     * Closes the connection if the body contains "poison", until {@link #release}. Responds to
+     * other requests.
      */
     DROPS_POISON,
     /** Sends one event of a stream and closes the connection. */
@@ -41,7 +41,8 @@
     /** Responds with status 503. */
     REFUSES,
     /**
-     * Responds with status 503 and requests a pause of {@link #PAUSE_SECONDS}, until {@link #release}.
+     * Responds with status 503 and requests a pause of {@link #PAUSE_SECONDS}, until {@link
+     * #release}.
      */
     ASKS_FOR_PAUSE,
     /** Responds with the id of another request. */
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/PausedEndpointsTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/PausedEndpointsTest.java
@@ -23,8 +23,8 @@
 
 /**
  * Guards against requests sent to endpoints during a pause that they requested. When all endpoints
- * of a model requested pauses of three seconds, one entry sent them 41 to 68 requests in each pause,
- * because it fell back to endpoints in backoff as soon as no others were left.
+ * of a model requested pauses of three seconds, one entry sent them 41 to 68 requests in each
+ * pause, because it fell back to endpoints in backoff as soon as no others were left.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class PausedEndpointsTest {
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/RequestFaultTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/RequestFaultTest.java
@@ -87,9 +87,23 @@
         row("hangs, the hedge responds", Sent.IDEMPOTENT, hangs, answers, 200, "", 2),
         row("both connections closed", Sent.IDEMPOTENT, dies, dies, 502, "outcome_unknown", 2),
         row("both reject", Sent.IDEMPOTENT, refuses, refuses, 503, "", 2),
-        row("connection closed, may run once", Sent.KEYED, dies, answers, 502, "outcome_unknown", 1),
+        row(
+            "connection closed, may run once",
+            Sent.KEYED,
+            dies,
+            answers,
+            502,
+            "outcome_unknown",
+            1),
         row("rejects, may run once", Sent.KEYED, refuses, answers, 503, "", 1),
-        row("response of another, may run once", Sent.KEYED, steals, answers, 502, "outcome_unknown", 1));
+        row(
+            "response of another, may run once",
+            Sent.KEYED,
+            steals,
+            answers,
+            502,
+            "outcome_unknown",
+            1));
   }
 
   private static Arguments row(
@@ -251,7 +265,10 @@
     cluster.announce(entry, model + "-a", REGION, model, endpoints.get(0).port(), true);
     assertThat(chat(model, Optional.empty(), Map.of()).code(), is("not_run"));
     cluster.announce(entry, model + "-a", REGION, model, endpoints.get(0).port(), false);
-    assertThat("announcement with an older sequence", chat(model, Optional.empty(), Map.of()).status(), is(503));
+    assertThat(
+        "announcement with an older sequence",
+        chat(model, Optional.empty(), Map.of()).status(),
+        is(503));
     assertThat(runsInAll(), is(1));
   }
 
