--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/ConsensusDriver.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/ConsensusDriver.java
@@ -31,8 +31,8 @@
  */
 final class ConsensusDriver implements AutoCloseable {
   private static final System.Logger LOG = System.getLogger(ConsensusDriver.class.getName());
-  private static final long TICK_MILLIS = 20;
-  private static final long CLOSE_SECONDS = 5;
+  private static final long TICK_INTERVAL_MILLIS = 20;
+  private static final long CLOSE_TIMEOUT_SECONDS = 5;
 
   /** Receives the results of each step; called on the driver's thread. */
   interface Listener {
@@ -40,7 +40,7 @@
     void send(String to, ConsensusMessage message);
 
     /** Called after each step with the member and the entries that the step committed. */
-    void stepped(ConsensusMember member, List<LogEntry> committed);
+    void onStep(ConsensusMember member, List<LogEntry> committed);
   }
 
   /** A call that makes a proposal to the member. */
@@ -53,14 +53,14 @@
   private final DurableLog log;
   private final Listener listener;
   private final Consumer<Throwable> onDiskFailure;
-  private final ScheduledExecutorService thread =
+  private final ScheduledExecutorService executor =
       Executors.newSingleThreadScheduledExecutor(
           task -> {
             Thread t = new Thread(task, "control-log");
             t.setDaemon(true);
             return t;
           });
-  private final Map<Long, Promise<ChangeResult>> waiting = new HashMap<>();
+  private final Map<Long, Promise<ChangeResult>> pendingProposals = new HashMap<>();
   private long nextTicket;
 
   ConsensusDriver(
@@ -81,19 +81,19 @@
 
   /** Starts calling {@link ConsensusMember#tick} periodically. */
   void start() {
-    every(TICK_MILLIS, member::tick);
+    scheduleRepeatedly(TICK_INTERVAL_MILLIS, member::tick);
   }
 
   /** Runs a step repeatedly, with a fixed delay between the runs. */
-  void every(long periodMillis, LongFunction<Output> action) {
-    thread.scheduleWithFixedDelay(
+  void scheduleRepeatedly(long periodMillis, LongFunction<Output> action) {
+    executor.scheduleWithFixedDelay(
         () -> step(action), periodMillis, periodMillis, TimeUnit.MILLISECONDS);
   }
 
   /** Queues a step; returns false if the driver is closed or has stopped. */
-  boolean later(LongFunction<Output> action) {
+  boolean enqueue(LongFunction<Output> action) {
     try {
-      thread.execute(() -> step(action));
+      executor.execute(() -> step(action));
       return true;
     } catch (RejectedExecutionException stopped) {
       return false;
@@ -107,42 +107,42 @@
    * @return the decision; {@link ChangeResult.Unknown} after the timeout, {@link
    *     ChangeResult.NotLeader} if the driver is closed or has stopped
    */
-  Future<ChangeResult> propose(Proposal proposal, Duration patience) {
+  Future<ChangeResult> propose(Proposal proposal, Duration timeout) {
     Promise<ChangeResult> promise = Promise.promise();
-    boolean taken =
-        later(
+    boolean queued =
+        enqueue(
             now -> {
               long ticket = nextTicket++;
-              waiting.put(ticket, promise);
-              thread.schedule(
-                  () -> decide(ticket, new ChangeResult.Unknown()),
-                  patience.toMillis(),
+              pendingProposals.put(ticket, promise);
+              executor.schedule(
+                  () -> completeProposal(ticket, new ChangeResult.Unknown()),
+                  timeout.toMillis(),
                   TimeUnit.MILLISECONDS);
               return proposal.propose(ticket, now);
             });
-    if (!taken) {
+    if (!queued) {
       promise.complete(new ChangeResult.NotLeader(Optional.empty()));
     }
     return promise.future();
   }
 
   private void step(LongFunction<Output> action) {
-    ConsensusMember.Role before = member.role();
+    ConsensusMember.Role roleBefore = member.role();
     long termBefore = member.term();
     try {
-      Output out = action.apply(steadyMillis());
-      out.messages().forEach(m -> listener.send(m.to(), m.message()));
-      listener.stepped(member, out.committed());
-      out.decisions().forEach(d -> decide(d.ticket(), d.result()));
+      Output output = action.apply(steadyMillis());
+      output.messages().forEach(m -> listener.send(m.to(), m.message()));
+      listener.onStep(member, output.committed());
+      output.decisions().forEach(d -> completeProposal(d.ticket(), d.result()));
     } catch (RuntimeException e) {
       LOG.log(System.Logger.Level.ERROR, "control.stopped", e);
-      thread.shutdownNow();
+      executor.shutdownNow();
       closeLog();
-      waiting.values().forEach(p -> p.tryComplete(new ChangeResult.Unknown()));
+      pendingProposals.values().forEach(p -> p.tryComplete(new ChangeResult.Unknown()));
       onDiskFailure.accept(e);
       return;
     }
-    if (member.role() != before || member.term() != termBefore) {
+    if (member.role() != roleBefore || member.term() != termBefore) {
       LOG.log(
           System.Logger.Level.INFO,
           "control.role",
@@ -163,8 +163,8 @@
     }
   }
 
-  private void decide(long ticket, ChangeResult result) {
-    Promise<ChangeResult> promise = waiting.remove(ticket);
+  private void completeProposal(long ticket, ChangeResult result) {
+    Promise<ChangeResult> promise = pendingProposals.remove(ticket);
     if (promise != null) {
       promise.tryComplete(result);
     }
@@ -172,9 +172,9 @@
 
   @Override
   public void close() throws IOException, InterruptedException {
-    thread.shutdown();
-    if (!thread.awaitTermination(CLOSE_SECONDS, TimeUnit.SECONDS)) {
-      thread.shutdownNow();
+    executor.shutdown();
+    if (!executor.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+      executor.shutdownNow();
     }
     log.close();
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/ControlService.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/ControlService.java
@@ -58,7 +58,7 @@
      * Returns whether a daemon that holds the given version may present it as the active one: this
      * member knows which version is the newest committed, and the daemon has activated it.
      */
-    public boolean confirms(long heldVersion) {
+    public boolean isCurrent(long heldVersion) {
       return caughtUp && heldVersion >= version;
     }
   }
@@ -95,8 +95,8 @@
             log,
             new SplittableRandom(),
             ConsensusDriver.steadyMillis());
-    this.driver = new ConsensusDriver(member, log, new Carrier(), onDiskFailure);
-    publish(List.of());
+    this.driver = new ConsensusDriver(member, log, new DriverListener(), onDiskFailure);
+    applyCommitted(List.of());
     LOG.log(
         System.Logger.Level.INFO,
         "control.recovered",
@@ -116,7 +116,7 @@
   }
 
   /** Returns whether this member is the leader of its group; may be called from any thread. */
-  public boolean leads() {
+  public boolean isLeader() {
     return status != null && status.leader().filter(nodeId::equals).isPresent();
   }
 
@@ -127,7 +127,7 @@
 
   /** Passes a message of another member to this one. */
   public void receive(String from, ConsensusMessage message) {
-    driver.later(now -> member.receive(from, message, now));
+    driver.enqueue(now -> member.receive(from, message, now));
   }
 
   /**
@@ -139,12 +139,12 @@
    * @return the outcome; {@link ChangeResult.Unknown} after the timeout
    */
   public Future<ChangeResult> propose(
-      Command.Change change, long expectedVersion, Duration patience) {
+      Command.Change change, long expectedVersion, Duration timeout) {
     return driver.propose(
-        (ticket, now) -> member.propose(ticket, change, expectedVersion, now), patience);
+        (ticket, now) -> member.propose(ticket, change, expectedVersion, now), timeout);
   }
 
-  private final class Carrier implements ConsensusDriver.Listener {
+  private final class DriverListener implements ConsensusDriver.Listener {
     @Override
     public void send(String to, ConsensusMessage message) {
       membership
@@ -153,8 +153,8 @@
     }
 
     @Override
-    public void stepped(ConsensusMember steppedMember, List<LogEntry> committed) {
-      publish(committed);
+    public void onStep(ConsensusMember steppedMember, List<LogEntry> committed) {
+      applyCommitted(committed);
       committed.forEach(ControlService.this::logCommitted);
     }
   }
@@ -163,7 +163,7 @@
    * Updates the status and activates the committed configuration in this daemon, which then
    * notifies its peers.
    */
-  private void publish(List<LogEntry> committed) {
+  private void applyCommitted(List<LogEntry> committed) {
     ConfigState state = member.state();
     status =
         new Status(
@@ -199,14 +199,14 @@
           entry.version(),
           "term",
           entry.term());
-    } else if (entry.command() instanceof Command.StorageRegistration r) {
+    } else if (entry.command() instanceof Command.StorageRegistration registration) {
       LOG.log(
           System.Logger.Level.INFO,
           "control.member_readmitted",
           "member",
-          r.memberId(),
+          registration.memberId(),
           "storage",
-          r.storageId());
+          registration.storageId());
     }
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/DurableFile.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/DurableFile.java
@@ -19,7 +19,7 @@
  */
 public final class DurableFile {
   /** Forces data and metadata to the storage device. */
-  static final Sync TO_DISK = channel -> channel.force(true);
+  static final Sync FORCE_TO_DISK = channel -> channel.force(true);
 
   private static final int HEADER_BYTES = 8;
 
@@ -60,28 +60,28 @@
     if (!Files.exists(file)) {
       return new Contents(payloads, 0);
     }
-    ByteBuffer all = ByteBuffer.wrap(Files.readAllBytes(file));
+    ByteBuffer buffer = ByteBuffer.wrap(Files.readAllBytes(file));
     long validBytes = 0;
-    while (all.remaining() >= HEADER_BYTES) {
-      int length = all.getInt();
-      int crc = all.getInt();
-      if (length < 0 || length > all.remaining()) {
+    while (buffer.remaining() >= HEADER_BYTES) {
+      int length = buffer.getInt();
+      int crc = buffer.getInt();
+      if (length < 0 || length > buffer.remaining()) {
         break;
       }
       byte[] payload = new byte[length];
-      all.get(payload);
+      buffer.get(payload);
       if (crc32c(payload) != crc) {
         break;
       }
       payloads.add(payload);
-      validBytes = all.position();
+      validBytes = buffer.position();
     }
     return new Contents(payloads, validBytes);
   }
 
   /** Replaces a file durably by one with the given records. */
   public static void replace(Path file, List<byte[]> payloads) throws IOException {
-    replace(file, payloads, TO_DISK);
+    replace(file, payloads, FORCE_TO_DISK);
   }
 
   static void replace(Path file, List<byte[]> payloads, Sync sync) throws IOException {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/DurableLog.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/DurableLog.java
@@ -49,11 +49,11 @@
   private Snapshot snapshot;
   private FileChannel channel;
 
-  private interface Packing {
+  private interface PackFunction {
     void pack(MessagePacker packer) throws IOException;
   }
 
-  private interface Unpacking<T> {
+  private interface UnpackFunction<T> {
     T unpack(MessageUnpacker unpacker) throws IOException;
   }
 
@@ -71,7 +71,7 @@
    * @throws IOException if the folder or a file cannot be used
    */
   public static DurableLog open(Path dataDir, boolean bootstrap) throws IOException {
-    return open(dataDir, bootstrap, DurableFile.TO_DISK);
+    return open(dataDir, bootstrap, DurableFile.FORCE_TO_DISK);
   }
 
   static DurableLog open(Path dataDir, boolean bootstrap, DurableFile.Sync sync)
@@ -94,10 +94,10 @@
    *     start, otherwise empty
    * @throws IOException if the folder or a file cannot be used
    */
-  public static DurableLog openFounded(Path dataDir, Set<String> founders) throws IOException {
+  public static DurableLog openWithFounders(Path dataDir, Set<String> founders) throws IOException {
     DurableLog log = open(dataDir, !founders.isEmpty());
-    boolean unused = log.snapshot.equals(Snapshot.EMPTY) && log.entries.isEmpty();
-    if (!founders.isEmpty() && unused) {
+    boolean empty = log.snapshot.equals(Snapshot.EMPTY) && log.entries.isEmpty();
+    if (!founders.isEmpty() && empty) {
       log.compact(new Snapshot(0, 0, ConfigState.EMPTY.withMembers(founders)), List.of());
     }
     return log;
@@ -155,12 +155,12 @@
   }
 
   /** Replaces the log file by one that contains only the given entries. */
-  private void rewrite(List<LogEntry> kept) throws IOException {
+  private void rewrite(List<LogEntry> retained) throws IOException {
     Path file = dataDir.resolve(LOG_FILE);
     List<byte[]> payloads = new ArrayList<>();
     List<Long> offsets = new ArrayList<>();
     long offset = 0;
-    for (LogEntry e : kept) {
+    for (LogEntry e : retained) {
       byte[] payload = encode(p -> ConsensusCodec.packEntry(p, e));
       payloads.add(payload);
       offset += DurableFile.record(payload).remaining();
@@ -204,60 +204,60 @@
   }
 
   @Override
-  public void append(List<LogEntry> more) {
+  public void append(List<LogEntry> newEntries) {
     try {
       long offset = channel.position();
-      for (LogEntry e : more) {
-        ByteBuffer bytes = DurableFile.record(encode(p -> ConsensusCodec.packEntry(p, e)));
+      for (LogEntry entry : newEntries) {
+        ByteBuffer bytes = DurableFile.record(encode(p -> ConsensusCodec.packEntry(p, entry)));
         offset += bytes.remaining();
         DurableFile.writeFully(channel, bytes);
         endOffsets.add(offset);
       }
       sync.force(channel);
-      entries.addAll(more);
-    } catch (IOException e) {
-      throw new UncheckedIOException("appending to the configuration log failed", e);
+      entries.addAll(newEntries);
+    } catch (IOException entry) {
+      throw new UncheckedIOException("appending to the configuration log failed", entry);
     }
   }
 
   @Override
   public void truncateFrom(long index) {
-    int keep = (int) (index - snapshot.lastIndex() - 1);
+    int retainedCount = (int) (index - snapshot.lastIndex() - 1);
     try {
-      channel.truncate(keep == 0 ? 0 : endOffsets.get(keep - 1));
+      channel.truncate(retainedCount == 0 ? 0 : endOffsets.get(retainedCount - 1));
       channel.position(channel.size());
       sync.force(channel);
     } catch (IOException e) {
       throw new UncheckedIOException("truncating the configuration log failed", e);
     }
-    entries.subList(keep, entries.size()).clear();
-    endOffsets.subList(keep, endOffsets.size()).clear();
+    entries.subList(retainedCount, entries.size()).clear();
+    endOffsets.subList(retainedCount, endOffsets.size()).clear();
   }
 
   @Override
-  public void compact(Snapshot newer, List<LogEntry> tail) {
+  public void compact(Snapshot newSnapshot, List<LogEntry> tail) {
     try {
-      byte[] payload = encode(p -> ConsensusCodec.packSnapshot(p, newer));
+      byte[] payload = encode(p -> ConsensusCodec.packSnapshot(p, newSnapshot));
       DurableFile.replace(dataDir.resolve(SNAPSHOT_FILE), List.of(payload), sync);
       rewrite(tail);
     } catch (IOException e) {
       throw new UncheckedIOException("compacting the configuration log failed", e);
     }
-    snapshot = newer;
+    snapshot = newSnapshot;
     entries.clear();
     entries.addAll(tail);
   }
 
-  private static byte[] encode(Packing packing) throws IOException {
+  private static byte[] encode(PackFunction packFunction) throws IOException {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-      packing.pack(packer);
+      packFunction.pack(packer);
       return packer.toByteArray();
     }
   }
 
-  private static <T> T decode(byte[] payload, Unpacking<T> unpacking) throws IOException {
+  private static <T> T decode(byte[] payload, UnpackFunction<T> unpackFunction) throws IOException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(payload)) {
-      return unpacking.unpack(unpacker);
+      return unpackFunction.unpack(unpacker);
     }
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/RoutingControl.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/RoutingControl.java
@@ -29,7 +29,7 @@
   private static final System.Logger LOG = System.getLogger(RoutingControl.class.getName());
 
   /** Interval between checks whether the members of the group must change. */
-  private static final long ADJUST_MILLIS = 200;
+  private static final long ADJUST_INTERVAL_MILLIS = 200;
 
   /**
    * Time for which a member must be unresponsive before a standby instance may replace it: longer
@@ -61,7 +61,7 @@
      * Returns this view without a leader and a majority, for an instance whose data folder has
      * failed and which therefore receives no newer state.
      */
-    private View outOfTouch() {
+    private View disconnected() {
       return new View(routing, false, Optional.empty(), members, term);
     }
   }
@@ -84,15 +84,15 @@
       String self,
       Path dataDir,
       Set<String> founders,
-      int toleratedLosses,
+      int toleratedFailures,
       BiConsumer<String, ConsensusMessage> send,
       Consumer<RoutingState> onRouting,
       Consumer<Throwable> onDiskFailure)
       throws IOException {
     this(
         self,
-        DurableLog.openFounded(dataDir, founders),
-        toleratedLosses,
+        DurableLog.openWithFounders(dataDir, founders),
+        toleratedFailures,
         send,
         onRouting,
         onDiskFailure);
@@ -101,7 +101,7 @@
   RoutingControl(
       String self,
       DurableLog log,
-      int toleratedLosses,
+      int toleratedFailures,
       BiConsumer<String, ConsensusMessage> send,
       Consumer<RoutingState> onRouting,
       Consumer<Throwable> onDiskFailure) {
@@ -136,17 +136,17 @@
               }
 
               @Override
-              public void stepped(ConsensusMember steppedMember, List<LogEntry> committed) {
+              public void onStep(ConsensusMember steppedMember, List<LogEntry> committed) {
                 publish(committed, onRouting);
               }
             },
             failure -> {
-              view = view.outOfTouch();
+              view = view.disconnected();
               onDiskFailure.accept(failure);
             });
     driver.start();
-    GroupPolicy policy = new GroupPolicy(2 * toleratedLosses + 1, REPLACE_AFTER_MILLIS);
-    driver.every(ADJUST_MILLIS, now -> member.adjustGroup(policy, now));
+    GroupPolicy policy = new GroupPolicy(2 * toleratedFailures + 1, REPLACE_AFTER_MILLIS);
+    driver.scheduleRepeatedly(ADJUST_INTERVAL_MILLIS, now -> member.adjustGroup(policy, now));
   }
 
   private static View viewOf(ConsensusMember member) {
@@ -208,19 +208,19 @@
 
   /** Passes a message of another member to this one. */
   public void receive(String from, ConsensusMessage message) {
-    driver.later(now -> member.receive(from, message, now));
+    driver.enqueue(now -> member.receive(from, message, now));
   }
 
   /** Starts replicating to an instance that is not a member, if this instance is the leader. */
   public void admit(String learner) {
     if (!view.members().contains(learner)) {
-      driver.later(now -> member.admit(learner, now));
+      driver.enqueue(now -> member.admit(learner, now));
     }
   }
 
   /** Submits a command; see {@link ConsensusMember#submit}. */
-  public Future<ChangeResult> submit(Command command, Duration patience) {
-    return driver.propose((ticket, now) -> member.submit(ticket, command, now), patience);
+  public Future<ChangeResult> submit(Command command, Duration timeout) {
+    return driver.propose((ticket, now) -> member.submit(ticket, command, now), timeout);
   }
 
   @Override
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/ConfigApi.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/ConfigApi.java
@@ -37,7 +37,7 @@
   private static final String CHANGE_ID_HEADER = "X-Change-Id";
   private static final String EXPECTED_VERSION_HEADER = "X-Expected-Version";
   private static final String CONTROL_HOP_HEADER = "X-Lacewingcroft-Control-Hop";
-  private static final Duration QUORUM_PATIENCE = Duration.ofSeconds(4);
+  private static final Duration PROPOSAL_TIMEOUT = Duration.ofSeconds(4);
   private static final long CONNECT_TIMEOUT_MILLIS = 1_000;
   private static final long RELAY_TIMEOUT_MILLIS = 6_000;
 
@@ -46,7 +46,7 @@
   private final HttpClient client;
 
   /** A change as sent by an operator: a whole document or a patch. */
-  private record Request(
+  private record ChangeRequest(
       Command.Change change,
       long expectedVersion,
       HttpMethod method,
@@ -65,27 +65,28 @@
    * @param configKnown whether this daemon knows which version is active; until then reads are
    *     refused
    */
-  void mountRead(Router router, BooleanSupplier known) {
+  void mountRead(Router router, BooleanSupplier configKnown) {
     router
         .get("/v1/config")
         .handler(
             ctx -> {
-              if (known.getAsBoolean()) {
-                configPage(ctx);
+              if (configKnown.getAsBoolean()) {
+                serveConfig(ctx);
               } else {
-                refuse(ctx, ErrorKind.NOT_RUN, "this daemon has not learned the version in force");
+                sendError(
+                    ctx, ErrorKind.NOT_RUN, "this daemon has not learned the version in force");
               }
             });
   }
 
   /** Mounts the routes of the control role. */
   void mountControl(Router router, ControlService control) {
-    router.put("/v1/config").handler(ctx -> apply(ctx, control));
-    router.patch("/v1/config").handler(ctx -> apply(ctx, control));
-    router.get("/v1/control").handler(ctx -> statusPage(ctx, control.status()));
+    router.put("/v1/config").handler(ctx -> proposeChange(ctx, control));
+    router.patch("/v1/config").handler(ctx -> proposeChange(ctx, control));
+    router.get("/v1/control").handler(ctx -> serveStatus(ctx, control.status()));
   }
 
-  private void configPage(RoutingContext ctx) {
+  private void serveConfig(RoutingContext ctx) {
     ConfigStore.Applied current = configs.current();
     ctx.response()
         .putHeader("Content-Type", "application/yaml")
@@ -93,7 +94,7 @@
         .end(current.document());
   }
 
-  private static void statusPage(RoutingContext ctx, ControlService.Status status) {
+  private static void serveStatus(RoutingContext ctx, ControlService.Status status) {
     ObjectNode reply = JsonReply.JSON.createObjectNode();
     reply.put("role", status.role().name().toLowerCase(Locale.ROOT));
     reply.put("leader", status.leader().orElse(null));
@@ -105,51 +106,55 @@
     JsonReply.send(ctx, reply);
   }
 
-  private void apply(RoutingContext ctx, ControlService control) {
-    Request request;
+  private void proposeChange(RoutingContext ctx, ControlService control) {
+    ChangeRequest request;
     try {
       request = parse(ctx);
     } catch (GatewayException e) {
-      refuse(ctx, e.kind(), e.detail());
+      sendError(ctx, e.kind(), e.detail());
       return;
     }
     control
-        .propose(request.change(), request.expectedVersion(), QUORUM_PATIENCE)
-        .onSuccess(result -> answer(ctx, request, result));
+        .propose(request.change(), request.expectedVersion(), PROPOSAL_TIMEOUT)
+        .onSuccess(result -> sendResult(ctx, request, result));
   }
 
-  private static Request parse(RoutingContext ctx) {
+  private static ChangeRequest parse(RoutingContext ctx) {
     String id = ctx.request().getHeader(CHANGE_ID_HEADER);
-    String expected = ctx.request().getHeader(EXPECTED_VERSION_HEADER);
-    if (id == null || id.isBlank() || expected == null || !expected.matches("\\d{1,18}")) {
+    String expectedVersion = ctx.request().getHeader(EXPECTED_VERSION_HEADER);
+    if (id == null
+        || id.isBlank()
+        || expectedVersion == null
+        || !expectedVersion.matches("\\d{1,18}")) {
       throw new GatewayException(
           ErrorKind.MALFORMED_REQUEST,
           "a change needs headers " + CHANGE_ID_HEADER + " and " + EXPECTED_VERSION_HEADER);
     }
     String document =
         Optional.ofNullable(ctx.body().asString(StandardCharsets.UTF_8.name())).orElse("");
-    boolean patches = ctx.request().method().equals(HttpMethod.PATCH);
+    boolean isPatch = ctx.request().method().equals(HttpMethod.PATCH);
     Command.Change change =
-        patches
+        isPatch
             ? new Command.PatchChange(id, ConfigPatch.parse(document).text())
-            : checkedChange(id, document);
+            : parseDocumentChange(id, document);
     boolean relayed = ctx.request().getHeader(CONTROL_HOP_HEADER) != null;
-    return new Request(change, Long.parseLong(expected), ctx.request().method(), document, relayed);
+    return new ChangeRequest(
+        change, Long.parseLong(expectedVersion), ctx.request().method(), document, relayed);
   }
 
-  private static Command.Change checkedChange(String id, String document) {
+  private static Command.Change parseDocumentChange(String id, String document) {
     ConfigParser.parse(document);
     return new Command.ConfigChange(id, document);
   }
 
-  private void answer(RoutingContext ctx, Request request, ChangeResult result) {
+  private void sendResult(RoutingContext ctx, ChangeRequest request, ChangeResult result) {
     if (result instanceof ChangeResult.Accepted accepted) {
       ObjectNode reply = JsonReply.JSON.createObjectNode();
       reply.put("version", accepted.version());
       reply.put("duplicate", accepted.duplicate());
       JsonReply.send(ctx, reply);
     } else if (result instanceof ChangeResult.Conflict conflict) {
-      refuse(
+      sendError(
           ctx,
           ErrorKind.VERSION_CONFLICT,
           "the change expects version "
@@ -159,17 +164,17 @@
               + " is in force; rebase on "
               + conflict.currentVersion());
     } else if (result instanceof ChangeResult.NotLeader notLeader) {
-      relay(ctx, request, notLeader.leader());
+      relayToLeader(ctx, request, notLeader.leader());
     } else {
-      refuse(ctx, ErrorKind.CHANGE_UNKNOWN, "no quorum confirmed the change in time");
+      sendError(ctx, ErrorKind.CHANGE_UNKNOWN, "no quorum confirmed the change in time");
     }
   }
 
-  private void relay(RoutingContext ctx, Request request, Optional<String> leader) {
+  private void relayToLeader(RoutingContext ctx, ChangeRequest request, Optional<String> leader) {
     Optional<String> address =
         leader.flatMap(membership.table()::get).map(m -> m.info().httpAddress());
     if (request.relayed() || address.isEmpty()) {
-      refuse(ctx, ErrorKind.NO_QUORUM, "the control group has no leader that can be reached");
+      sendError(ctx, ErrorKind.NO_QUORUM, "the control group has no leader that can be reached");
       return;
     }
     RequestOptions options =
@@ -183,17 +188,19 @@
             .putHeader(CONTROL_HOP_HEADER, membership.self().nodeId());
     client
         .request(options)
-        .onFailure(e -> refuse(ctx, ErrorKind.NO_QUORUM, "the leader cannot be reached"))
+        .onFailure(e -> sendError(ctx, ErrorKind.NO_QUORUM, "the leader cannot be reached"))
         .onSuccess(
             upstream ->
                 upstream
                     .send(Buffer.buffer(request.body()))
-                    .compose(response -> response.body().map(body -> pass(ctx, response, body)))
+                    .compose(
+                        response -> response.body().map(body -> copyResponse(ctx, response, body)))
                     .onFailure(
-                        e -> refuse(ctx, ErrorKind.CHANGE_UNKNOWN, "the leader did not answer")));
+                        e ->
+                            sendError(ctx, ErrorKind.CHANGE_UNKNOWN, "the leader did not answer")));
   }
 
-  private static Void pass(RoutingContext ctx, HttpClientResponse response, Buffer body) {
+  private static Void copyResponse(RoutingContext ctx, HttpClientResponse response, Buffer body) {
     String retryAfter = response.getHeader("Retry-After");
     if (retryAfter != null) {
       ctx.response().putHeader("Retry-After", retryAfter);
@@ -205,7 +212,7 @@
     return null;
   }
 
-  private static void refuse(RoutingContext ctx, ErrorKind kind, String detail) {
+  private static void sendError(RoutingContext ctx, ErrorKind kind, String detail) {
     ErrorReply.send(ctx.response(), kind, detail, Optional.empty());
   }
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
@@ -47,8 +47,8 @@
  */
 public final class Daemon implements AutoCloseable {
   private static final System.Logger LOG = System.getLogger(Daemon.class.getName());
-  private static final int EXIT_DISK_FAILURE = 3;
-  private static final int LINGER_HEARTBEATS = 4;
+  private static final int DISK_FAILURE_EXIT_CODE = 3;
+  private static final int MIN_DRAIN_HEARTBEATS = 4;
 
   private final Settings settings;
   private final InstantSource clock = new SteadyInstantSource();
@@ -69,7 +69,7 @@
   private Daemon(Settings settings) {
     this.settings = settings;
     this.vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(4));
-    configs.onApplied(this::spreadVersion);
+    configs.onApplied(this::notifyPeers);
     this.learning = new ConfigLearning(configs, settings.heartbeatInterval().multipliedBy(3));
     this.endpoints = new EndpointRegistry(clock, settings.endpointLease());
     this.transport = new PeerTransport(vertx, new FrameCodec(settings.secret()));
@@ -109,9 +109,9 @@
                 ErrorKind.UNKNOWN_PATH,
                 "nothing is served at " + ctx.request().method() + " " + ctx.request().path(),
                 Optional.empty()));
-    router.route().handler(this::refuseWhileStarting);
-    router.get("/metrics").handler(this::metricsPage);
-    router.get("/readyz").handler(this::readyPage);
+    router.route().handler(this::rejectWhileStarting);
+    router.get("/metrics").handler(this::serveMetrics);
+    router.get("/readyz").handler(this::serveReadiness);
     router.get("/healthz").handler(ctx -> ctx.response().end("ok\n"));
     HttpServerOptions options =
         new HttpServerOptions().setHost(settings.host()).setHttp2ClearTextEnabled(false);
@@ -124,7 +124,7 @@
     MemberInfo self =
         new MemberInfo(
             settings.nodeId(),
-            settings.role().spelling(),
+            settings.role().wireName(),
             settings.region(),
             settings.failureDomain(),
             settings.host() + ":" + peerPort,
@@ -133,9 +133,9 @@
     membership =
         new Membership(self, settings.peers(), transport, clock, settings.heartbeatInterval());
     ConfigApi configApi = new ConfigApi(vertx, configs, membership);
-    configApi.mountRead(router, this::knowsConfig);
+    configApi.mountRead(router, this::isConfigCurrent);
     DirectoryApi directoryApi =
-        new DirectoryApi(membership, endpoints, configs, clock, this::servesCallers);
+        new DirectoryApi(membership, endpoints, configs, clock, this::acceptsRequests);
     directoryApi.mountEntries(router);
     if (settings.role() == Role.CONTROL) {
       startControl();
@@ -156,7 +156,7 @@
         System.Logger.Level.INFO,
         "daemon.started",
         "role",
-        settings.role().spelling(),
+        settings.role().wireName(),
         "region",
         settings.region(),
         "http",
@@ -169,7 +169,7 @@
    * Rejects requests until all routes are mounted. The port is open before that, and callers must
    * not receive a 404 for a route that is about to be mounted.
    */
-  private void refuseWhileStarting(RoutingContext ctx) {
+  private void rejectWhileStarting(RoutingContext ctx) {
     if (started) {
       ctx.next();
     } else {
@@ -188,7 +188,7 @@
             settings.bootstrap(),
             configs,
             membership,
-            failure -> Runtime.getRuntime().halt(EXIT_DISK_FAILURE));
+            failure -> Runtime.getRuntime().halt(DISK_FAILURE_EXIT_CODE));
     control.start();
   }
 
@@ -212,13 +212,16 @@
     router.post(EntryGateway.SERVICES_PREFIX + ":service/*").handler(gateway::handleService);
   }
 
-  private boolean servesCallers() {
-    return gateway != null && !gateway.shuttingDown() && knowsConfig() && membership.converged();
+  private boolean acceptsRequests() {
+    return gateway != null
+        && !gateway.shuttingDown()
+        && isConfigCurrent()
+        && membership.converged();
   }
 
-  private boolean knowsConfig() {
+  private boolean isConfigCurrent() {
     long version = configs.current().version();
-    return control == null ? version > 0 : control.status().confirms(version);
+    return control == null ? version > 0 : control.status().isCurrent(version);
   }
 
   private void injectFaults(LinkFaults faults) {
@@ -246,15 +249,15 @@
   }
 
   /** Notifies peers of a newly activated version; the leader notifies every region. */
-  private void spreadVersion(long version) {
-    boolean leads = control != null && control.leads();
+  private void notifyPeers(long version) {
+    boolean isLeader = control != null && control.isLeader();
     membership.sendToRandomMembers(
-        new PeerMessage.ConfigNotice(version, membership.self().peerAddress()), leads);
+        new PeerMessage.ConfigNotice(version, membership.self().peerAddress()), isLeader);
   }
 
   private void heartbeat() {
     learning.tick(clock.instant());
-    membership.beat(
+    membership.sendRound(
         new Gossiper.SelfReport(
             gateway != null && gateway.shuttingDown(),
             configs.current().version(),
@@ -273,7 +276,7 @@
   /**
    * Requests a peer's configuration if its version is newer than any version offered to this entry.
    */
-  private void newerVersionAt(String peerAddress, long version) {
+  private void onPeerVersion(String peerAddress, long version) {
     if (settings.role() == Role.ENTRY && learning.heard(version, clock.instant())) {
       transport.send(
           peerAddress,
@@ -286,17 +289,17 @@
    * Sends a lagging peer the patches that it lacks, or the whole document if this daemon does not
    * hold them all.
    */
-  private void answerConfigRequest(PeerMessage.ConfigRequest request) {
+  private void onConfigRequest(PeerMessage.ConfigRequest request) {
     ConfigStore.Applied current = configs.current();
     if (current.version() <= request.haveVersion()) {
       return;
     }
-    PeerMessage answer =
+    PeerMessage response =
         configs
             .patchesSince(request.haveVersion())
             .<PeerMessage>map(p -> new PeerMessage.ConfigPatches(request.haveVersion(), p))
             .orElseGet(() -> new PeerMessage.ConfigOffer(current.version(), current.document()));
-    transport.send(request.replyTo(), answer);
+    transport.send(request.replyTo(), response);
   }
 
   private void onPeerMessage(String stamp, PeerMessage message) {
@@ -305,9 +308,9 @@
     }
     if (message instanceof PeerMessage.Gossip gossip) {
       membership.onGossip(gossip, configs.current().version());
-      newerVersionAt(gossip.sender().peerAddress(), gossip.configVersion());
+      onPeerVersion(gossip.sender().peerAddress(), gossip.configVersion());
     } else if (message instanceof PeerMessage.ConfigNotice notice) {
-      newerVersionAt(notice.replyTo(), notice.version());
+      onPeerVersion(notice.replyTo(), notice.version());
     } else if (message instanceof PeerMessage.ConfigOffer offer) {
       if (settings.role() == Role.ENTRY) {
         learning.offered(offer.version(), offer.document(), clock.instant());
@@ -317,7 +320,7 @@
         learning.offeredPatches(offer.baseVersion(), offer.patches());
       }
     } else if (message instanceof PeerMessage.ConfigRequest request) {
-      answerConfigRequest(request);
+      onConfigRequest(request);
     } else if (message instanceof PeerMessage.EndpointAnnounce announce) {
       endpoints.renew(announce.endpoint());
     } else if (message instanceof PeerMessage.Consensus consensus && control != null) {
@@ -335,12 +338,12 @@
    * Serves the readiness check: an entry is ready when it accepts requests of callers, a control
    * daemon when its configuration is up to date.
    */
-  private void readyPage(RoutingContext ctx) {
-    boolean ready = settings.role() == Role.ENTRY ? servesCallers() : knowsConfig();
+  private void serveReadiness(RoutingContext ctx) {
+    boolean ready = settings.role() == Role.ENTRY ? acceptsRequests() : isConfigCurrent();
     ctx.response().setStatusCode(ready ? 200 : 503).end(ready ? "ready\n" : "not ready\n");
   }
 
-  private void metricsPage(RoutingContext ctx) {
+  private void serveMetrics(RoutingContext ctx) {
     ctx.response()
         .putHeader("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
         .end(metrics.scrape());
@@ -367,28 +370,29 @@
    */
   @Override
   public void close() throws Exception {
-    LOG.log(System.Logger.Level.INFO, "daemon.draining", "role", settings.role().spelling());
+    LOG.log(System.Logger.Level.INFO, "daemon.draining", "role", settings.role().wireName());
     if (gateway != null) {
       gateway.beginShutdown();
       heartbeat();
       drain();
     }
-    final int left = gateway == null ? 0 : gateway.inFlight();
+    final int unfinished = gateway == null ? 0 : gateway.inFlight();
     if (control != null) {
       control.close();
     }
     transport.close();
     await(vertx.close());
-    LOG.log(System.Logger.Level.INFO, "daemon.stopped", "cutRequests", left);
+    LOG.log(System.Logger.Level.INFO, "daemon.stopped", "cutRequests", unfinished);
   }
 
   private void drain() throws InterruptedException {
     long startNanos = System.nanoTime();
-    Duration linger = settings.heartbeatInterval().multipliedBy(LINGER_HEARTBEATS);
-    long lingerUntil = startNanos + linger.toNanos();
-    long deadline = startNanos + Math.max(linger.toNanos(), settings.drainTimeout().toNanos());
-    while (System.nanoTime() < lingerUntil
-        || gateway.inFlight() > 0 && System.nanoTime() < deadline) {
+    Duration minDrain = settings.heartbeatInterval().multipliedBy(MIN_DRAIN_HEARTBEATS);
+    long minDrainEndNanos = startNanos + minDrain.toNanos();
+    long deadlineNanos =
+        startNanos + Math.max(minDrain.toNanos(), settings.drainTimeout().toNanos());
+    while (System.nanoTime() < minDrainEndNanos
+        || gateway.inFlight() > 0 && System.nanoTime() < deadlineNanos) {
       TimeUnit.MILLISECONDS.sleep(10);
     }
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/DirectoryApi.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/DirectoryApi.java
@@ -31,7 +31,7 @@
   private final EndpointRegistry endpoints;
   private final ConfigStore configs;
   private final InstantSource clock;
-  private final BooleanSupplier servesCallers;
+  private final BooleanSupplier acceptsRequests;
 
   /**
    * Creates the API.
@@ -43,31 +43,31 @@
       EndpointRegistry endpoints,
       ConfigStore configs,
       InstantSource clock,
-      BooleanSupplier servesCallers) {
+      BooleanSupplier acceptsRequests) {
     this.membership = membership;
     this.endpoints = endpoints;
     this.configs = configs;
     this.clock = clock;
-    this.servesCallers = servesCallers;
+    this.acceptsRequests = acceptsRequests;
   }
 
   /** Mounts the route that lists the entries. */
   void mountEntries(Router router) {
-    router.get("/v1/entries").handler(this::entriesPage);
+    router.get("/v1/entries").handler(this::serveEntries);
   }
 
   /** Mounts the routes for endpoints and models. */
   void mountEndpoints(Router router) {
     router.post("/v1/endpoints/announce").handler(this::announce);
-    router.get("/v1/endpoints").handler(this::endpointsPage);
-    router.get("/v1/models").handler(this::modelsPage);
+    router.get("/v1/endpoints").handler(this::serveEndpoints);
+    router.get("/v1/models").handler(this::serveModels);
   }
 
-  private void entriesPage(RoutingContext ctx) {
+  private void serveEntries(RoutingContext ctx) {
     String region =
         Optional.ofNullable(ctx.request().getParam("region")).orElse(membership.self().region());
     Stream<MemberInfo> self =
-        servesCallers.getAsBoolean() ? Stream.of(membership.self()) : Stream.empty();
+        acceptsRequests.getAsBoolean() ? Stream.of(membership.self()) : Stream.empty();
     Stream<MemberInfo> others =
         membership.table().alive(MemberInfo.ENTRY, null, clock.instant()).stream()
             .map(Member::info);
@@ -102,7 +102,7 @@
     }
   }
 
-  private void endpointsPage(RoutingContext ctx) {
+  private void serveEndpoints(RoutingContext ctx) {
     ArrayNode list = JsonReply.JSON.createArrayNode();
     endpoints.snapshot().all().stream()
         .sorted(Comparator.comparing(Endpoint::id))
@@ -110,7 +110,7 @@
     JsonReply.send(ctx, list);
   }
 
-  private void modelsPage(RoutingContext ctx) {
+  private void serveModels(RoutingContext ctx) {
     ObjectNode reply = JsonReply.JSON.createObjectNode().put("object", "list");
     ArrayNode list = reply.putArray("data");
     endpoints.snapshot().all().stream()
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/FaultApi.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/FaultApi.java
@@ -22,11 +22,11 @@
  */
 final class FaultApi {
   private final Membership membership;
-  private final Consumer<LinkFaults> sink;
+  private final Consumer<LinkFaults> faultSink;
 
-  FaultApi(Membership membership, Consumer<LinkFaults> sink) {
+  FaultApi(Membership membership, Consumer<LinkFaults> faultSink) {
     this.membership = membership;
-    this.sink = sink;
+    this.faultSink = faultSink;
   }
 
   void mount(Router router) {
@@ -50,7 +50,7 @@
             cutRegions,
             body.path("delayMillis").asLong(0),
             membership::regionOf);
-    sink.accept(faults);
+    faultSink.accept(faults);
     ObjectNode reply = JsonReply.JSON.createObjectNode();
     reply.set("cutRegions", JsonReply.JSON.valueToTree(cutRegions));
     reply.put("delayMillis", faults.delayMillis());
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Role.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Role.java
@@ -8,7 +8,7 @@
   CONTROL;
 
   /** Returns the name of the role in flags, peer messages and log lines. */
-  public String spelling() {
+  public String wireName() {
     return name().toLowerCase(java.util.Locale.ROOT);
   }
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Settings.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Settings.java
@@ -78,8 +78,8 @@
     require(nodeId, "--node-id", "LWC_NODE_ID", "a unique name such as uusimaa-entry-1");
     require(region, "--region", "LWC_REGION", "the region this instance runs in");
     require(failureDomain, "--failure-domain", "LWC_FAILURE_DOMAIN", "a zone such as uusimaa-a");
-    port(httpPort, "--http-port", "LWC_HTTP_PORT");
-    port(peerPort, "--peer-port", "LWC_PEER_PORT");
+    requirePort(httpPort, "--http-port", "LWC_HTTP_PORT");
+    requirePort(peerPort, "--peer-port", "LWC_PEER_PORT");
     if (role == Role.CONTROL && dataDir.isEmpty()) {
       throw new SettingsException(
           "--data-dir", "LWC_DATA_DIR", "the control role needs a data folder", "set a path");
@@ -144,9 +144,9 @@
       throw new SettingsException(
           "--hedge-millis", "LWC_HEDGE_MILLIS", "negative", "set 0 (never) or milliseconds");
     }
-    positive(endpointLease, "--endpoint-lease-millis", "LWC_ENDPOINT_LEASE_MILLIS");
-    positive(heartbeatInterval, "--heartbeat-millis", "LWC_HEARTBEAT_MILLIS");
-    positive(drainTimeout, "--drain-millis", "LWC_DRAIN_MILLIS");
+    requirePositive(endpointLease, "--endpoint-lease-millis", "LWC_ENDPOINT_LEASE_MILLIS");
+    requirePositive(heartbeatInterval, "--heartbeat-millis", "LWC_HEARTBEAT_MILLIS");
+    requirePositive(drainTimeout, "--drain-millis", "LWC_DRAIN_MILLIS");
     return this;
   }
 
@@ -156,14 +156,14 @@
     }
   }
 
-  private static void port(int port, String flag, String environment) {
+  private static void requirePort(int port, String flag, String environment) {
     if (port < 0 || port > 65535) {
       throw new SettingsException(
           flag, environment, port + " is not a port", "use 0 (free) to 65535");
     }
   }
 
-  private static void positive(Duration value, String flag, String environment) {
+  private static void requirePositive(Duration value, String flag, String environment) {
     if (value.isNegative() || value.isZero()) {
       throw new SettingsException(flag, environment, "must be positive", "set milliseconds > 0");
     }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/logging/JsonLogger.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/logging/JsonLogger.java
@@ -48,8 +48,8 @@
     if (!isLoggable(level)) {
       return;
     }
-    boolean pairs = params != null && params.length % 2 == 0 && !format.contains("{0");
-    if (pairs) {
+    boolean hasPairs = params != null && params.length % 2 == 0 && !format.contains("{0");
+    if (hasPairs) {
       write(level, format, params, null);
     } else {
       String text = params == null ? format : MessageFormat.format(format, params);
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/logging/LogWriter.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/logging/LogWriter.java
@@ -18,11 +18,11 @@
  */
 public final class LogWriter {
   /** Capacity of the queue: the lines of several seconds of a busy entry, about 2 MB. */
-  private static final int QUEUE_LINES = 8_192;
+  private static final int QUEUE_CAPACITY_LINES = 8_192;
 
-  private static final int BATCH_LINES = 256;
+  private static final int MAX_BATCH_LINES = 256;
 
-  private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_LINES);
+  private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY_LINES);
   private final AtomicLong dropped = new AtomicLong();
   private final OutputStream out;
 
@@ -65,16 +65,17 @@
   void writeBatch(String first) {
     List<String> lines = new ArrayList<>();
     lines.add(first);
-    queue.drainTo(lines, BATCH_LINES);
-    long lost = dropped.getAndSet(0);
-    if (lost > 0) {
-      lines.add("{\"level\":\"WARNING\",\"event\":\"log.lines_dropped\",\"count\":" + lost + "}");
+    queue.drainTo(lines, MAX_BATCH_LINES);
+    long droppedLines = dropped.getAndSet(0);
+    if (droppedLines > 0) {
+      lines.add(
+          "{\"level\":\"WARNING\",\"event\":\"log.lines_dropped\",\"count\":" + droppedLines + "}");
     }
     StringBuilder text = new StringBuilder(lines.size() * 256);
     lines.forEach(l -> text.append(l).append('\n'));
     try {
       out.write(text.toString().getBytes(StandardCharsets.UTF_8));
-    } catch (IOException readerGone) {
+    } catch (IOException outputClosed) {
       dropped.addAndGet(lines.size());
     }
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/metrics/GatewayMetrics.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/metrics/GatewayMetrics.java
@@ -49,7 +49,7 @@
   public final Gauge endpoints =
       Gauge.builder().name("lwc_endpoints").help("Endpoints known").register(registry);
 
-  /** Request contents that are quarantined because they crashed endpoints. */
+  /** ChangeRequest contents that are quarantined because they crashed endpoints. */
   public final Gauge quarantinedContents =
       Gauge.builder()
           .name("lwc_quarantined_contents")
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/LinkFaults.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/LinkFaults.java
@@ -35,7 +35,7 @@
    * Returns whether frames to a peer address are dropped. While any region is cut off, so are peers
    * whose region is unknown.
    */
-  boolean cutsPeer(String address) {
+  boolean dropsFramesTo(String address) {
     return !cutRegions.isEmpty() && regionOfPeer.apply(address).map(this::isCut).orElse(true);
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/LoopbackPorts.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/LoopbackPorts.java
@@ -17,13 +17,13 @@
  */
 public final class LoopbackPorts {
   /** The lowest port allocated, above most ports that are registered for well-known services. */
-  static final int LOWEST = 20_000;
+  static final int MIN_PORT = 20_000;
 
   /** One above the highest port allocated: the ephemeral range starts at 32768 on Linux. */
-  static final int END = 32_000;
+  static final int MAX_PORT_EXCLUSIVE = 32_000;
 
-  private static final int TRIES = 1_000;
-  private static final Set<Integer> GIVEN = new HashSet<>();
+  private static final int MAX_ATTEMPTS = 1_000;
+  private static final Set<Integer> ALLOCATED = new HashSet<>();
 
   private LoopbackPorts() {}
 
@@ -44,22 +44,27 @@
    * @throws IOException if no such range is found
    */
   public static synchronized int neighbours(int count) throws IOException {
-    for (int i = 0; i < TRIES; i++) {
-      int first = ThreadLocalRandom.current().nextInt(LOWEST, END - count + 1);
+    for (int i = 0; i < MAX_ATTEMPTS; i++) {
+      int first = ThreadLocalRandom.current().nextInt(MIN_PORT, MAX_PORT_EXCLUSIVE - count + 1);
       if (areFree(first, count)) {
         for (int port = first; port < first + count; port++) {
-          GIVEN.add(port);
+          ALLOCATED.add(port);
         }
         return first;
       }
     }
     throw new BindException(
-        "no " + count + " consecutive ports are free from " + LOWEST + " to " + (END - 1));
+        "no "
+            + count
+            + " consecutive ports are free from "
+            + MIN_PORT
+            + " to "
+            + (MAX_PORT_EXCLUSIVE - 1));
   }
 
   private static boolean areFree(int first, int count) {
     for (int port = first; port < first + count; port++) {
-      if (GIVEN.contains(port) || !isFree(port)) {
+      if (ALLOCATED.contains(port) || !isFree(port)) {
         return false;
       }
     }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/Membership.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/Membership.java
@@ -26,9 +26,9 @@
   private final Gossiper gossiper;
   private final Random random = new Random();
   private final Duration interval;
-  private final AtomicReference<Optional<Instant>> firstHeardAt =
+  private final AtomicReference<Optional<Instant>> firstGossipAt =
       new AtomicReference<>(Optional.empty());
-  private final AtomicReference<Optional<Instant>> lastBeatAt =
+  private final AtomicReference<Optional<Instant>> lastRoundAt =
       new AtomicReference<>(Optional.empty());
   private final AtomicReference<MemberTable> table;
 
@@ -72,10 +72,10 @@
    */
   public void onGossip(PeerMessage.Gossip gossip, long configVersion) {
     MemberTable current = table.updateAndGet(t -> t.heard(gossip, clock.instant()));
-    firstHeardAt.updateAndGet(seen -> seen.or(() -> Optional.of(clock.instant())));
+    firstGossipAt.updateAndGet(recorded -> recorded.or(() -> Optional.of(clock.instant())));
     gossiper
         .answer(gossip, configVersion, current)
-        .ifPresent(answer -> transport.send(answer.address(), answer.gossip()));
+        .ifPresent(reply -> transport.send(reply.address(), reply.gossip()));
   }
 
   /**
@@ -84,10 +84,10 @@
    * anything.
    */
   public boolean converged() {
-    return !brokeOff()
-        && firstHeardAt
+    return !isStalled()
+        && firstGossipAt
             .get()
-            .filter(first -> !first.plus(suspicionTime()).isAfter(clock.instant()))
+            .filter(first -> !first.plus(suspicionTimeout()).isAfter(clock.instant()))
             .isPresent();
   }
 
@@ -95,23 +95,23 @@
    * Returns whether this daemon has sent no gossip for so long that others suspect it, such as when
    * its instance was frozen.
    */
-  private boolean brokeOff() {
-    return lastBeatAt
+  private boolean isStalled() {
+    return lastRoundAt
         .get()
-        .filter(at -> at.plus(suspicionTime()).isBefore(clock.instant()))
+        .filter(at -> at.plus(suspicionTimeout()).isBefore(clock.instant()))
         .isPresent();
   }
 
-  private Duration suspicionTime() {
+  private Duration suspicionTimeout() {
     return interval.multipliedBy(MemberTable.suspectIntervals(table().followed().size() + 1));
   }
 
   /** Sends this interval's gossip. */
-  public void beat(Gossiper.SelfReport report) {
-    if (brokeOff()) {
-      startAnew();
+  public void sendRound(Gossiper.SelfReport report) {
+    if (isStalled()) {
+      resetAfterStall();
     }
-    lastBeatAt.set(Optional.of(clock.instant()));
+    lastRoundAt.set(Optional.of(clock.instant()));
     MemberTable current = table.updateAndGet(t -> t.withoutDead(clock.instant()));
     for (Gossiper.Outgoing message : gossiper.round(report, current, clock.instant())) {
       transport.send(message.address(), message.gossip());
@@ -122,9 +122,9 @@
    * Restarts failure detection after a stall: the time without heartbeats of every other member is
    * measured from now on, and this daemon has to converge again.
    */
-  private void startAnew() {
+  private void resetAfterStall() {
     LOG.log(System.Logger.Level.WARNING, "membership.broke_off", "node", self.nodeId());
-    firstHeardAt.set(Optional.empty());
+    firstGossipAt.set(Optional.empty());
     table.updateAndGet(t -> t.allHeardAt(clock.instant()));
   }
 
@@ -162,21 +162,21 @@
    */
   public void sendToRandomMembers(PeerMessage message, boolean acrossRegions) {
     List<Member> inRegion = new ArrayList<>();
-    List<Member> elsewhere = new ArrayList<>();
+    List<Member> inOtherRegions = new ArrayList<>();
     table
         .get()
         .all()
-        .forEach(m -> (m.info().region().equals(self.region()) ? inRegion : elsewhere).add(m));
+        .forEach(m -> (m.info().region().equals(self.region()) ? inRegion : inOtherRegions).add(m));
     Collections.shuffle(inRegion, random);
     inRegion.stream()
         .limit(Gossiper.FANOUT)
         .forEach(m -> transport.send(m.info().peerAddress(), message));
     if (acrossRegions) {
-      List<String> told = new ArrayList<>();
-      Collections.shuffle(elsewhere, random);
-      for (Member m : elsewhere) {
-        if (!told.contains(m.info().region())) {
-          told.add(m.info().region());
+      List<String> reachedRegions = new ArrayList<>();
+      Collections.shuffle(inOtherRegions, random);
+      for (Member m : inOtherRegions) {
+        if (!reachedRegions.contains(m.info().region())) {
+          reachedRegions.add(m.info().region());
           transport.send(m.info().peerAddress(), message);
         }
       }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/PeerTraffic.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/PeerTraffic.java
@@ -10,9 +10,9 @@
  * message. Shows which kind of message loads the processor or the link of an instance.
  */
 public final class PeerTraffic {
-  private final Map<Class<?>, Row> rows = new ConcurrentHashMap<>();
+  private final Map<Class<?>, Counters> countersByKind = new ConcurrentHashMap<>();
 
-  private static final class Row {
+  private static final class Counters {
     private final LongAdder sent = new LongAdder();
     private final LongAdder sentBytes = new LongAdder();
     private final LongAdder received = new LongAdder();
@@ -33,44 +33,44 @@
       long sent, long sentBytes, long received, long receivedBytes, long workNanos) {}
 
   /** Records a message sent to a number of receivers. */
-  void sent(PeerMessage message, int receivers, int frameBytes, long encodeNanos) {
-    Row row = row(message);
-    row.sent.add(receivers);
-    row.sentBytes.add((long) receivers * frameBytes);
-    row.workNanos.add(encodeNanos);
+  void recordSent(PeerMessage message, int receivers, int frameBytes, long encodeNanos) {
+    Counters counters = countersOf(message);
+    counters.sent.add(receivers);
+    counters.sentBytes.add((long) receivers * frameBytes);
+    counters.workNanos.add(encodeNanos);
   }
 
   /** Records a received message. */
-  void received(PeerMessage message, int bytes, long decodeNanos) {
-    Row row = row(message);
-    row.received.increment();
-    row.receivedBytes.add(bytes);
-    row.workNanos.add(decodeNanos);
+  void recordReceived(PeerMessage message, int bytes, long decodeNanos) {
+    Counters counters = countersOf(message);
+    counters.received.increment();
+    counters.receivedBytes.add(bytes);
+    counters.workNanos.add(decodeNanos);
   }
 
   /** Records the time spent on handling a message. */
   public void handled(PeerMessage message, long nanos) {
-    row(message).workNanos.add(nanos);
+    countersOf(message).workNanos.add(nanos);
   }
 
-  private Row row(PeerMessage message) {
+  private Counters countersOf(PeerMessage message) {
     Object kind = message instanceof PeerMessage.Fleet fleet ? fleet.message() : message;
-    return rows.computeIfAbsent(kind.getClass(), k -> new Row());
+    return countersByKind.computeIfAbsent(kind.getClass(), k -> new Counters());
   }
 
   /** Returns the totals by kind, which is the simple class name of the message. */
   public Map<String, Totals> totals() {
     Map<String, Totals> totals = new TreeMap<>();
-    rows.forEach(
-        (kind, row) ->
+    countersByKind.forEach(
+        (kind, counters) ->
             totals.put(
                 kind.getSimpleName(),
                 new Totals(
-                    row.sent.sum(),
-                    row.sentBytes.sum(),
-                    row.received.sum(),
-                    row.receivedBytes.sum(),
-                    row.workNanos.sum())));
+                    counters.sent.sum(),
+                    counters.sentBytes.sum(),
+                    counters.received.sum(),
+                    counters.receivedBytes.sum(),
+                    counters.workNanos.sum())));
     return totals;
   }
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/PeerTransport.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/PeerTransport.java
@@ -31,20 +31,20 @@
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
   /** Interval between liveness checks of a connection in use. */
-  private static final long PING_MILLIS = 1_000;
+  private static final long PING_INTERVAL_MILLIS = 1_000;
 
   /**
    * Time without data after a ping after which a connection counts as dead: several round trips
    * between regions and a retransmitted packet. Nothing else detects a link that stops delivering
    * without a TCP reset.
    */
-  private static final long DEAD_MILLIS = 1_300;
+  private static final long PONG_TIMEOUT_MILLIS = 1_300;
 
   private final Vertx vertx;
   private final FrameCodec codec;
   private final NetClient client;
   private final Map<String, Future<NetSocket>> connections = new ConcurrentHashMap<>();
-  private final Map<String, Watch> watches = new ConcurrentHashMap<>();
+  private final Map<String, LivenessCheck> livenessChecks = new ConcurrentHashMap<>();
   private final AtomicLong framesRejected = new AtomicLong();
   private final AtomicLong bytesSent = new AtomicLong();
   private final AtomicLong bytesReceived = new AtomicLong();
@@ -81,8 +81,8 @@
   }
 
   /** Sets the faults to inject on the links to peers, for experiments. */
-  public void setFaults(LinkFaults injected) {
-    this.faults = injected;
+  public void setFaults(LinkFaults newFaults) {
+    this.faults = newFaults;
   }
 
   /** Returns the number of frames rejected for their size or authentication tag. */
@@ -115,14 +115,14 @@
     if (addresses.isEmpty()) {
       return;
     }
-    long begunNanos = System.nanoTime();
+    long startNanos = System.nanoTime();
     byte[] frame = codec.encode(LogContext.clock().tick(), message);
-    traffic.sent(message, addresses.size(), frame.length, System.nanoTime() - begunNanos);
+    traffic.recordSent(message, addresses.size(), frame.length, System.nanoTime() - startNanos);
     addresses.forEach(address -> sendFrame(address, frame));
   }
 
   private void sendFrame(String address, byte[] frame) {
-    if (faults.cutsPeer(address)) {
+    if (faults.dropsFramesTo(address)) {
       return;
     }
     long delayMillis = faults.delayMillis(address);
@@ -138,9 +138,9 @@
         .onSuccess(
             socket -> {
               bytesSent.addAndGet(frame.length);
-              Watch watch = watches.get(address);
-              if (watch != null) {
-                watch.used = true;
+              LivenessCheck check = livenessChecks.get(address);
+              if (check != null) {
+                check.usedSincePing = true;
               }
               socket.write(Buffer.buffer(frame));
             })
@@ -163,52 +163,52 @@
     return connections.computeIfAbsent(
         address,
         a -> {
-          Future<NetSocket> f = client.connect(SocketAddresses.parse(a));
-          f.onSuccess(
-              s -> {
-                Watch watch = new Watch(s);
-                watches.put(a, watch);
-                s.closeHandler(
+          Future<NetSocket> connecting = client.connect(SocketAddresses.parse(a));
+          connecting.onSuccess(
+              socket -> {
+                LivenessCheck check = new LivenessCheck(socket);
+                livenessChecks.put(a, check);
+                socket.closeHandler(
                     v -> {
-                      connections.remove(a, f);
-                      watches.remove(a, watch);
-                      watch.stop();
+                      connections.remove(a, connecting);
+                      livenessChecks.remove(a, check);
+                      check.stop();
                     });
-                s.exceptionHandler(e -> s.close());
-                s.handler(b -> watch.heard());
+                socket.exceptionHandler(e -> socket.close());
+                socket.handler(b -> check.onData());
               });
-          return f;
+          return connecting;
         });
   }
 
   /** Pings the peer of a connection in use and closes the connection if no data arrives in time. */
-  private final class Watch {
+  private final class LivenessCheck {
     private final NetSocket socket;
     private final long timer;
-    private long sentSinceNanos;
-    private boolean used;
+    private long unansweredPingNanos;
+    private boolean usedSincePing;
 
-    private Watch(NetSocket socket) {
+    private LivenessCheck(NetSocket socket) {
       this.socket = socket;
-      this.timer = vertx.setPeriodic(PING_MILLIS, id -> check());
+      this.timer = vertx.setPeriodic(PING_INTERVAL_MILLIS, id -> check());
     }
 
     private void check() {
       long now = System.nanoTime();
-      if (sentSinceNanos != 0
-          && TimeUnit.NANOSECONDS.toMillis(now - sentSinceNanos) > DEAD_MILLIS) {
+      if (unansweredPingNanos != 0
+          && TimeUnit.NANOSECONDS.toMillis(now - unansweredPingNanos) > PONG_TIMEOUT_MILLIS) {
         LOG.log(System.Logger.Level.WARNING, "peer.silent", "peer", socket.remoteAddress());
         socket.close();
-      } else if (used && sentSinceNanos == 0) {
-        used = false;
-        sentSinceNanos = now;
+      } else if (usedSincePing && unansweredPingNanos == 0) {
+        usedSincePing = false;
+        unansweredPingNanos = now;
         socket.write(
             Buffer.buffer(codec.encode(LogContext.clock().tick(), new PeerMessage.Ping())));
       }
     }
 
-    private void heard() {
-      sentSinceNanos = 0;
+    private void onData() {
+      unansweredPingNanos = 0;
     }
 
     private void stop() {
@@ -230,9 +230,10 @@
             }
             expectLength[0] = true;
             parser.fixedSizeMode(FrameCodec.LENGTH_BYTES);
-            long begunNanos = System.nanoTime();
+            long startNanos = System.nanoTime();
             FrameCodec.Frame frame = codec.decode(buffer.getBytes());
-            traffic.received(frame.message(), buffer.length(), System.nanoTime() - begunNanos);
+            traffic.recordReceived(
+                frame.message(), buffer.length(), System.nanoTime() - startNanos);
             LogContext.clock().receive(frame.stamp());
             if (frame.message() instanceof PeerMessage.Ping) {
               socket.write(
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/control/DurableLogTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/control/DurableLogTest.java
@@ -87,7 +87,7 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("histories")
-  void reopensAsItWasLeft(String name, Consumer<LogStorage> actions) throws IOException {
+  void restoresStateOnReopen(String name, Consumer<LogStorage> actions) throws IOException {
     try (DurableLog log = DurableLog.open(dataDir, true)) {
       actions.accept(log);
       try (DurableLog reopened = DurableLog.open(dataDir, false)) {
@@ -100,7 +100,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 4, 7, 8, 9, 20})
-  void cutsOffTornTail(int tornBytes) throws IOException {
+  void truncatesTornTail(int tornBytes) throws IOException {
     try (DurableLog log = DurableLog.open(dataDir, true)) {
       log.append(List.of(entry(1, 1), entry(2, 1)));
     }
@@ -109,14 +109,14 @@
       assertThat(reopened.entries(), is(List.of(entry(1, 1))));
       reopened.append(List.of(entry(2, 2)));
     }
-    try (DurableLog again = DurableLog.open(dataDir, false)) {
-      assertThat(again.entries(), is(List.of(entry(1, 1), entry(2, 2))));
+    try (DurableLog reopenedAgain = DurableLog.open(dataDir, false)) {
+      assertThat(reopenedAgain.entries(), is(List.of(entry(1, 1), entry(2, 2))));
     }
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void newFolderVotesOnlyOnFirstStart(boolean bootstrap) throws IOException {
+  void memberWithNewFolderVotesOnlyOnFirstStart(boolean bootstrap) throws IOException {
     String storageId;
     try (DurableLog log = DurableLog.open(dataDir, bootstrap)) {
       assertThat(log.hardState().voter(), is(bootstrap));
@@ -149,7 +149,7 @@
   /** After a crash between write and sync, none, a part or all of the write is on disk. */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.1, 0.5, 0.9, 1})
-  void crashBetweenWriteAndSyncLosesNothingAcknowledged(double keptShare) throws IOException {
+  void crashBetweenWriteAndSyncLosesNothingAcknowledged(double writtenShare) throws IOException {
     FailingDisk disk = new FailingDisk();
     try (DurableLog log = DurableLog.open(dataDir, true, disk)) {
       ConsensusMember member = soleMember(log);
@@ -159,7 +159,7 @@
       assertThrows(UncheckedIOException.class, () -> member.propose(9, change("change-3"), 2, 0));
     }
     long written = Files.size(dataDir.resolve(DurableLog.LOG_FILE));
-    truncateLog(disk.syncedBytes + (long) ((written - disk.syncedBytes) * keptShare));
+    truncateLog(disk.syncedBytes + (long) ((written - disk.syncedBytes) * writtenShare));
     try (DurableLog reopened = DurableLog.open(dataDir, false)) {
       ConsensusMember member = soleMember(reopened);
       assertThat(accepted(member, "change-1", 0), is(1L));
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/control/RoutingControlTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/control/RoutingControlTest.java
@@ -49,14 +49,14 @@
   }
 
   @Test
-  void failedDiskEndsItsPartAndTheFolderCanBeOpenedAgain() throws Exception {
-    AtomicBoolean full = new AtomicBoolean();
+  void diskFailureLosesMajorityAndFolderCanBeReopened() throws Exception {
+    AtomicBoolean diskFull = new AtomicBoolean();
     DurableLog log =
         DurableLog.open(
             folder,
             true,
             channel -> {
-              if (full.get()) {
+              if (diskFull.get()) {
                 throw new IOException("no space left");
               }
               channel.force(true);
@@ -68,17 +68,17 @@
     assertThat(submit(control, 5), instanceOf(ChangeResult.Accepted.class));
     assertThat(control.view().inMajority(), equalTo(true));
 
-    full.set(true);
-    ChangeResult lost =
+    diskFull.set(true);
+    ChangeResult result =
         await(control.submit(new Command.RoutingChange(6, "v6"), Duration.ofSeconds(2)));
     failed.get(5, TimeUnit.SECONDS);
-    assertThat(lost, instanceOf(ChangeResult.Unknown.class));
+    assertThat(result, instanceOf(ChangeResult.Unknown.class));
     assertThat(control.view().inMajority(), equalTo(false));
 
-    try (RoutingControl again =
-        open(DurableLog.openFounded(folder, Set.of()), new CompletableFuture<>())) {
-      assertThat(submit(again, 7), instanceOf(ChangeResult.Accepted.class));
-      assertThat(again.view().routing().document(), equalTo("v7"));
+    try (RoutingControl reopened =
+        open(DurableLog.openWithFounders(folder, Set.of()), new CompletableFuture<>())) {
+      assertThat(submit(reopened, 7), instanceOf(ChangeResult.Accepted.class));
+      assertThat(reopened.view().routing().document(), equalTo("v7"));
     }
   }
 }
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/control/StatusTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/control/StatusTest.java
@@ -20,10 +20,11 @@
     "true,  5, 5, true",
     "true,  5, 6, true"
   })
-  void confirmsOnlyTheNewestVersion(boolean caughtUp, long committed, long held, boolean shown) {
+  void isCurrentOnlyWithTheNewestVersion(
+      boolean caughtUp, long committed, long held, boolean current) {
     ControlService.Status status =
         new ControlService.Status(
             ConsensusMember.Role.FOLLOWER, Optional.empty(), 1, 9, committed, true, caughtUp);
-    assertThat(status.confirms(held), is(shown));
+    assertThat(status.isCurrent(held), is(current));
   }
 }
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/CrashingContentTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/CrashingContentTest.java
@@ -38,14 +38,14 @@
   private static final int CALLS = 12;
 
   /** Endpoints that may crash, plus sends that may still reach an endpoint after that. */
-  private static final int TOLERATED_RUNS = 3 + 3;
+  private static final int MAX_POISON_RUNS = 3 + 3;
 
   private final Vertx vertx = Vertx.vertx();
   private final List<Daemon> entries = new ArrayList<>();
   private TestCluster cluster;
 
   /** How the caller marks its requests. */
-  private enum Sent {
+  private enum RequestType {
     IDEMPOTENT,
     KEYED
   }
@@ -64,22 +64,22 @@
   }
 
   @ParameterizedTest
-  @EnumSource(Sent.class)
-  void contentThatEndsEndpointsIsNotRunAgainAndAgain(Sent sent) throws Exception {
-    String model = "model-" + sent;
-    List<FakeEndpoint> endpoints = announceAll(model, Behaviour.DIES_OF_POISON);
-    TestCluster.await(() -> chat(entries.get(1), model, "innocent", sent, 0).status() == 200);
-    TestCluster.Reply last = chat(entries.get(0), model, POISON, sent, 1);
+  @EnumSource(RequestType.class)
+  void contentThatCrashesEndpointsIsQuarantined(RequestType type) throws Exception {
+    String model = "model-" + type;
+    List<FakeEndpoint> endpoints = announceAll(model, Behaviour.CRASHES_ON_POISON);
+    TestCluster.await(() -> chat(entries.get(1), model, "innocent", type, 0).status() == 200);
+    TestCluster.Reply last = chat(entries.get(0), model, POISON, type, 1);
     for (int call = 2; call < CALLS; call++) {
-      last = chat(entries.get(call % entries.size()), model, POISON, sent, call);
+      last = chat(entries.get(call % entries.size()), model, POISON, type, call);
     }
     int poisonRuns = endpoints.stream().mapToInt(FakeEndpoint::poisonRuns).sum();
     assertThat(poisonRuns, greaterThanOrEqualTo(3));
-    assertThat(poisonRuns, lessThanOrEqualTo(TOLERATED_RUNS));
+    assertThat(poisonRuns, lessThanOrEqualTo(MAX_POISON_RUNS));
     assertThat(last.code(), is("content_quarantined"));
     assertThat(last.header("Retry-After").isPresent(), is(true));
     for (Daemon entry : entries) {
-      TestCluster.await(() -> chat(entry, model, "innocent", sent, CALLS).status() == 200);
+      TestCluster.await(() -> chat(entry, model, "innocent", type, CALLS).status() == 200);
     }
     endpoints.forEach(FakeEndpoint::close);
   }
@@ -87,12 +87,12 @@
   @Test
   void operatorListsAndLiftsQuarantinedContents() throws Exception {
     String model = "lifted";
-    final List<FakeEndpoint> endpoints = announceAll(model, Behaviour.DIES_OF_POISON);
+    final List<FakeEndpoint> endpoints = announceAll(model, Behaviour.CRASHES_ON_POISON);
     Daemon entry = entries.get(1);
     Set<String> before = quarantined(entry);
     TestCluster.await(
         () -> {
-          chat(entry, model, POISON, Sent.KEYED, 0);
+          chat(entry, model, POISON, RequestType.KEYED, 0);
           return quarantined(entry).size() > before.size();
         });
     Set<String> added = quarantined(entry);
@@ -134,25 +134,25 @@
 
   /** Closed connections alone do not count as crashes of the endpoint, however often they occur. */
   @ParameterizedTest
-  @EnumSource(Sent.class)
-  void contentWhoseConnectionsCloseIsServedAfterwards(Sent sent) throws Exception {
-    String model = "open-" + sent;
-    List<FakeEndpoint> endpoints = announceAll(model, Behaviour.DROPS_POISON);
-    TestCluster.await(() -> chat(entries.get(1), model, "innocent", sent, 0).status() == 200);
+  @EnumSource(RequestType.class)
+  void contentWhoseConnectionsCloseIsServedAfterwards(RequestType type) throws Exception {
+    String model = "open-" + type;
+    List<FakeEndpoint> endpoints = announceAll(model, Behaviour.CLOSES_CONNECTION_ON_POISON);
+    TestCluster.await(() -> chat(entries.get(1), model, "innocent", type, 0).status() == 200);
     for (int call = 1; call < CALLS; call++) {
-      chat(entries.get(call % entries.size()), model, POISON, sent, call);
+      chat(entries.get(call % entries.size()), model, POISON, type, call);
     }
     endpoints.forEach(FakeEndpoint::release);
     for (Daemon entry : entries) {
-      TestCluster.await(() -> chat(entry, model, POISON, sent, CALLS).status() == 200);
+      TestCluster.await(() -> chat(entry, model, POISON, type, CALLS).status() == 200);
     }
     endpoints.forEach(FakeEndpoint::close);
   }
 
-  private TestCluster.Reply chat(Daemon entry, String model, String text, Sent sent, int call)
-      throws Exception {
+  private TestCluster.Reply chat(
+      Daemon entry, String model, String text, RequestType type, int call) throws Exception {
     Map<String, String> headers = new HashMap<>(Map.of("X-Organisation", "desk"));
-    if (sent == Sent.KEYED) {
+    if (type == RequestType.KEYED) {
       headers.put("Idempotency-Key", model + text + call + System.nanoTime());
       headers.put("X-Idempotent", "false");
     }
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/DaemonApiTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/DaemonApiTest.java
@@ -40,7 +40,7 @@
 
   @BeforeAll
   void start(@TempDir Path dir) throws Exception {
-    engine = new FakeEndpoint(vertx, FakeEndpoint.Behaviour.ANSWERS);
+    engine = new FakeEndpoint(vertx, FakeEndpoint.Behaviour.RESPONDS);
     cluster = new TestCluster(dir.resolve("data"), "{}");
     entry = cluster.startEntry("entry-1", "uusimaa", Duration.ZERO);
     cluster.announce(entry, "e1", "uusimaa", "writer", engine.port(), false);
@@ -94,13 +94,13 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"X-Organisation", "x-organisation", "OpenAI-Organization"})
-  void takesTheOrganisationAsClientsNameIt(String header) throws Exception {
+  void acceptsEveryOrganisationHeader(String header) throws Exception {
     Map<String, String> caller = Map.of(header, "puhdas-seina");
     assertThat(send(entry, "POST", "/v1/chat/completions", caller, CHAT).status(), is(200));
   }
 
   @Test
-  void listsTheModelsServed() throws Exception {
+  void listsServedModels() throws Exception {
     TestCluster.Reply reply = send(entry, "GET", "/v1/models", Map.of(), "");
     assertThat(reply.status(), is(200));
     assertThat(
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/FakeEndpoint.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/FakeEndpoint.java
@@ -19,34 +19,34 @@
   /** The ways in which an endpoint handles requests. */
   enum Behaviour {
     /** Responds with status 200 and the request's id in the body. */
-    ANSWERS,
+    RESPONDS,
     /** Streams two events and completes the response. */
     STREAMS,
     /** Reads the request and closes the connection without a response. */
-    DIES_AT_ONCE,
+    CLOSES_CONNECTION,
     /**
      * Crashes with all its connections if the body contains "poison", and listens on its port again
-     * after {@link #DOWN_MILLIS}. Responds to other requests.
+     * after {@link #RESTART_DELAY_MILLIS}. Responds to other requests.
      */
-    DIES_OF_POISON,
+    CRASHES_ON_POISON,
     /**
      * Closes the connection if the body contains "poison", until {@link #release}. Responds to
      * other requests.
      */
-    DROPS_POISON,
+    CLOSES_CONNECTION_ON_POISON,
     /** Sends one event of a stream and closes the connection. */
-    DIES_IN_STREAM,
+    CLOSES_CONNECTION_IN_STREAM,
     /** Sends a Content-Length of 100 and 10 bytes of body, and closes the connection. */
-    DIES_IN_BODY,
+    CLOSES_CONNECTION_IN_BODY,
     /** Responds with status 503. */
-    REFUSES,
+    REJECTS,
     /**
      * Responds with status 503 and requests a pause of {@link #PAUSE_SECONDS}, until {@link
      * #release}.
      */
-    ASKS_FOR_PAUSE,
+    REQUESTS_PAUSE,
     /** Responds with the id of another request. */
-    ANSWERS_ANOTHER,
+    RESPONDS_WITH_OTHER_ID,
     /** Does not respond until {@link #release}. */
     HANGS
   }
@@ -54,7 +54,7 @@
   /** The pause that an endpoint requests by {@code Retry-After}. */
   static final int PAUSE_SECONDS = 3;
 
-  private static final long DOWN_MILLIS = 200;
+  private static final long RESTART_DELAY_MILLIS = 200;
 
   private final Vertx vertx;
   private final Behaviour behaviour;
@@ -63,7 +63,7 @@
   private final AtomicInteger runs = new AtomicInteger();
   private final AtomicInteger poisonRuns = new AtomicInteger();
   private final List<Long> arrivalNanos = new CopyOnWriteArrayList<>();
-  private final Set<String> keysRun = ConcurrentHashMap.newKeySet();
+  private final Set<String> receivedKeys = ConcurrentHashMap.newKeySet();
   private final CompletableFuture<Void> released = new CompletableFuture<>();
 
   FakeEndpoint(Vertx vertx, Behaviour behaviour) throws Exception {
@@ -73,23 +73,23 @@
         listen(0).toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS).actualPort();
   }
 
-  private Future<HttpServer> listen(int wantedPort) {
+  private Future<HttpServer> listen(int requestedPort) {
     server =
         vertx
             .createHttpServer(new HttpServerOptions().setReuseAddress(true))
             .requestHandler(
                 request -> request.body().onSuccess(body -> handle(request, body.toString())));
-    return server.listen(wantedPort, "127.0.0.1");
+    return server.listen(requestedPort, "127.0.0.1");
   }
 
   /**
    * Closes the server with all its connections. The next incarnation listens on the same port after
-   * {@link #DOWN_MILLIS}.
+   * {@link #RESTART_DELAY_MILLIS}.
    */
-  private void die(HttpServerRequest request) {
+  private void crash(HttpServerRequest request) {
     server.close();
     request.connection().close();
-    vertx.setTimer(DOWN_MILLIS, id -> listen(port));
+    vertx.setTimer(RESTART_DELAY_MILLIS, id -> listen(port));
   }
 
   int port() {
@@ -111,8 +111,8 @@
   }
 
   /** Returns the idempotency keys of the requests received. */
-  Set<String> keysRun() {
-    return keysRun;
+  Set<String> receivedKeys() {
+    return receivedKeys;
   }
 
   void release() {
@@ -126,35 +126,35 @@
     if (poison) {
       poisonRuns.incrementAndGet();
     }
-    keysRun.add(String.valueOf(request.getHeader("Idempotency-Key")));
+    receivedKeys.add(String.valueOf(request.getHeader("Idempotency-Key")));
     HttpServerResponse response = request.response();
     String id = request.getHeader("X-Request-Id");
     response.exceptionHandler(e -> {});
     switch (behaviour) {
-      case DIES_AT_ONCE -> request.connection().close();
-      case DIES_OF_POISON -> {
+      case CLOSES_CONNECTION -> request.connection().close();
+      case CRASHES_ON_POISON -> {
         if (poison) {
-          die(request);
+          crash(request);
         } else {
           response.end("answer to " + id);
         }
       }
-      case DROPS_POISON -> {
+      case CLOSES_CONNECTION_ON_POISON -> {
         if (poison && !released.isDone()) {
           request.connection().close();
         } else {
           response.end("answer to " + id);
         }
       }
-      case DIES_IN_STREAM ->
+      case CLOSES_CONNECTION_IN_STREAM ->
           stream(response).write("data: one\n\n").onComplete(sent -> request.connection().close());
-      case DIES_IN_BODY ->
+      case CLOSES_CONNECTION_IN_BODY ->
           response
               .putHeader("Content-Length", "100")
               .write("0123456789")
               .onComplete(sent -> request.connection().close());
       case STREAMS -> stream(response).end("data: one\n\ndata: [DONE]\n\n");
-      case ASKS_FOR_PAUSE -> {
+      case REQUESTS_PAUSE -> {
         if (released.isDone()) {
           response.end("answer to " + id);
         } else {
@@ -164,8 +164,8 @@
               .end("full");
         }
       }
-      case REFUSES -> response.setStatusCode(503).end("full");
-      case ANSWERS_ANOTHER -> response.putHeader("X-Request-Id", "another").end("stolen");
+      case REJECTS -> response.setStatusCode(503).end("full");
+      case RESPONDS_WITH_OTHER_ID -> response.putHeader("X-Request-Id", "another").end("stolen");
       case HANGS -> released.thenRun(() -> response.end("late " + id));
       default -> response.putHeader("X-Request-Id", id).end("answer to " + id);
     }
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/PausedEndpointsTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/PausedEndpointsTest.java
@@ -30,14 +30,14 @@
 class PausedEndpointsTest {
   private static final String REGION = "uusimaa";
   private static final int ENDPOINTS = 2;
-  private static final Duration RUN = Duration.ofSeconds(7);
-  private static final long CALL_PAUSE_MILLIS = 40;
+  private static final Duration TEST_DURATION = Duration.ofSeconds(7);
+  private static final long CALL_INTERVAL_MILLIS = 40;
 
   /** Maximum number of requests that an endpoint may receive in a pause, except at its start. */
-  private static final int MOST_IN_PAUSE = 2;
+  private static final int MAX_REQUESTS_IN_PAUSE = 2;
 
   /** Time at the start of a pause in which requests are not counted. */
-  private static final long BEGINNING_MILLIS = 500;
+  private static final long PAUSE_START_MILLIS = 500;
 
   private final Vertx vertx = Vertx.vertx();
   private final List<FakeEndpoint> endpoints = new ArrayList<>();
@@ -45,7 +45,7 @@
   private Daemon entry;
 
   /** Which of a model's endpoints request pauses. */
-  enum Asking {
+  enum PauseScope {
     ONE,
     ALL
   }
@@ -69,36 +69,39 @@
   }
 
   @ParameterizedTest
-  @EnumSource(Asking.class)
-  void endpointsGetNothingInThePauseThatTheyAskedFor(Asking asking) throws Exception {
-    String model = "model-" + asking;
-    int paused = asking == Asking.ALL ? ENDPOINTS : 1;
+  @EnumSource(PauseScope.class)
+  void endpointsReceiveNoRequestsInTheirPause(PauseScope scope) throws Exception {
+    String model = "model-" + scope;
+    int paused = scope == PauseScope.ALL ? ENDPOINTS : 1;
     for (int i = 0; i < ENDPOINTS; i++) {
       endpoints.add(
           new FakeEndpoint(
               vertx,
-              i < paused ? FakeEndpoint.Behaviour.ASKS_FOR_PAUSE : FakeEndpoint.Behaviour.ANSWERS));
+              i < paused
+                  ? FakeEndpoint.Behaviour.REQUESTS_PAUSE
+                  : FakeEndpoint.Behaviour.RESPONDS));
     }
-    long end = System.nanoTime() + RUN.toNanos();
+    long end = System.nanoTime() + TEST_DURATION.toNanos();
     List<String> refusedWithoutPause = new ArrayList<>();
     while (System.nanoTime() < end) {
       TestCluster.Reply reply = announceAndChat(model);
       if (reply.status() == 503 && reply.header("Retry-After").isEmpty()) {
         refusedWithoutPause.add(reply.code());
       }
-      TimeUnit.MILLISECONDS.sleep(CALL_PAUSE_MILLIS);
+      TimeUnit.MILLISECONDS.sleep(CALL_INTERVAL_MILLIS);
     }
     for (FakeEndpoint endpoint : endpoints.subList(0, paused)) {
       assertThat(endpoint.arrivalNanos(), is(not(empty())));
-      assertThat(mostInPause(endpoint.arrivalNanos()), lessThanOrEqualTo(MOST_IN_PAUSE));
+      assertThat(
+          maxRequestsInPause(endpoint.arrivalNanos()), lessThanOrEqualTo(MAX_REQUESTS_IN_PAUSE));
     }
     assertThat(refusedWithoutPause, is(empty()));
     endpoints.forEach(FakeEndpoint::release);
     TestCluster.await(() -> announceAndChat(model).status() == 200);
   }
 
-  private static int mostInPause(List<Long> arrivalNanos) {
-    long fromNanos = TimeUnit.MILLISECONDS.toNanos(BEGINNING_MILLIS);
+  private static int maxRequestsInPause(List<Long> arrivalNanos) {
+    long fromNanos = TimeUnit.MILLISECONDS.toNanos(PAUSE_START_MILLIS);
     long untilNanos = TimeUnit.SECONDS.toNanos(FakeEndpoint.PAUSE_SECONDS);
     return arrivalNanos.stream()
         .mapToInt(
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/RequestFaultTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/RequestFaultTest.java
@@ -40,7 +40,7 @@
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class RequestFaultTest {
   private static final String REGION = "uusimaa";
-  private static final int SHORT_DEADLINES = 600;
+  private static final int SHORT_DEADLINE_REQUESTS = 600;
   private final Vertx vertx = Vertx.vertx();
   private final List<FakeEndpoint> endpoints = new ArrayList<>();
   private TestCluster cluster;
@@ -48,7 +48,7 @@
   private int models;
 
   /** How the caller marks its request. */
-  private enum Sent {
+  private enum RequestType {
     IDEMPOTENT,
     KEYED
   }
@@ -75,32 +75,46 @@
   }
 
   static Stream<Arguments> faults() {
-    FakeEndpoint.Behaviour answers = FakeEndpoint.Behaviour.ANSWERS;
-    FakeEndpoint.Behaviour dies = FakeEndpoint.Behaviour.DIES_AT_ONCE;
-    FakeEndpoint.Behaviour refuses = FakeEndpoint.Behaviour.REFUSES;
-    FakeEndpoint.Behaviour steals = FakeEndpoint.Behaviour.ANSWERS_ANOTHER;
+    FakeEndpoint.Behaviour responds = FakeEndpoint.Behaviour.RESPONDS;
+    FakeEndpoint.Behaviour closes = FakeEndpoint.Behaviour.CLOSES_CONNECTION;
+    FakeEndpoint.Behaviour rejects = FakeEndpoint.Behaviour.REJECTS;
+    FakeEndpoint.Behaviour otherId = FakeEndpoint.Behaviour.RESPONDS_WITH_OTHER_ID;
     FakeEndpoint.Behaviour hangs = FakeEndpoint.Behaviour.HANGS;
     return Stream.of(
-        row("connection closed, the other responds", Sent.IDEMPOTENT, dies, answers, 200, "", 2),
-        row("rejects, the other responds", Sent.IDEMPOTENT, refuses, answers, 200, "", 2),
-        row("response of another request", Sent.IDEMPOTENT, steals, answers, 200, "", 2),
-        row("hangs, the hedge responds", Sent.IDEMPOTENT, hangs, answers, 200, "", 2),
-        row("both connections closed", Sent.IDEMPOTENT, dies, dies, 502, "outcome_unknown", 2),
-        row("both reject", Sent.IDEMPOTENT, refuses, refuses, 503, "", 2),
+        row(
+            "connection closed, the other responds",
+            RequestType.IDEMPOTENT,
+            closes,
+            responds,
+            200,
+            "",
+            2),
+        row("rejects, the other responds", RequestType.IDEMPOTENT, rejects, responds, 200, "", 2),
+        row("response of another request", RequestType.IDEMPOTENT, otherId, responds, 200, "", 2),
+        row("hangs, the hedge responds", RequestType.IDEMPOTENT, hangs, responds, 200, "", 2),
+        row(
+            "both connections closed",
+            RequestType.IDEMPOTENT,
+            closes,
+            closes,
+            502,
+            "outcome_unknown",
+            2),
+        row("both reject", RequestType.IDEMPOTENT, rejects, rejects, 503, "", 2),
         row(
             "connection closed, may run once",
-            Sent.KEYED,
-            dies,
-            answers,
+            RequestType.KEYED,
+            closes,
+            responds,
             502,
             "outcome_unknown",
             1),
-        row("rejects, may run once", Sent.KEYED, refuses, answers, 503, "", 1),
+        row("rejects, may run once", RequestType.KEYED, rejects, responds, 503, "", 1),
         row(
             "response of another, may run once",
-            Sent.KEYED,
-            steals,
-            answers,
+            RequestType.KEYED,
+            otherId,
+            responds,
             502,
             "outcome_unknown",
             1));
@@ -108,44 +122,45 @@
 
   private static Arguments row(
       String name,
-      Sent sent,
+      RequestType type,
       FakeEndpoint.Behaviour a,
       FakeEndpoint.Behaviour b,
       int status,
       String code,
       int runs) {
-    return Arguments.of(name, sent, a, b, status, code, runs);
+    return Arguments.of(name, type, a, b, status, code, runs);
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("faults")
-  void answersInFullOrRefusesHonestly(
+  void respondsCompletelyOrReportsOutcome(
       String name,
-      Sent sent,
+      RequestType type,
       FakeEndpoint.Behaviour a,
       FakeEndpoint.Behaviour b,
       int status,
       String code,
       int runs)
       throws Exception {
-    String model = announced(a, b);
-    Optional<String> key = sent == Sent.KEYED ? Optional.of("key-" + model) : Optional.empty();
+    String model = announceModel(a, b);
+    Optional<String> key =
+        type == RequestType.KEYED ? Optional.of("key-" + model) : Optional.empty();
     TestCluster.Reply reply = chat(model, key, Map.of("X-Request-Id", "id-" + model));
     assertThat(reply.response().body(), reply.status(), is(status));
     assertThat(reply.code(), is(code));
     if (status == 200) {
       assertThat(reply.response().body(), is("answer to id-" + model));
     }
-    assertThat(runsInAll(), is(runs));
+    assertThat(totalRuns(), is(runs));
     if (key.isPresent()) {
       assertThat(chat(model, key, Map.of()).status(), is(status));
-      assertThat("runs after a resend", runsInAll(), is(runs));
+      assertThat("runs after a resend", totalRuns(), is(runs));
     }
   }
 
   @Test
-  void saysNotRunOnlyWhenNoEndpointGotTheRequest() throws Exception {
-    FakeEndpoint gone = endpoint(FakeEndpoint.Behaviour.ANSWERS);
+  void reportsNotRunOnlyIfNoEndpointReceivedTheRequest() throws Exception {
+    FakeEndpoint gone = endpoint(FakeEndpoint.Behaviour.RESPONDS);
     String model = "model-" + models++;
     cluster.announce(entry, model + "-a", REGION, model, gone.port(), false);
     gone.close();
@@ -154,14 +169,14 @@
     assertThat(reply.code(), is("not_run"));
     assertThat(reply.header("X-Lacewingcroft-Run"), is(Optional.of("no")));
     assertThat(reply.header("Retry-After"), is(Optional.of("1")));
-    FakeEndpoint back = endpoint(FakeEndpoint.Behaviour.ANSWERS);
+    FakeEndpoint back = endpoint(FakeEndpoint.Behaviour.RESPONDS);
     cluster.announce(entry, model + "-b", REGION, model, back.port(), false);
     assertThat("the key was released", chat(model, Optional.of("k"), Map.of()).status(), is(200));
   }
 
   @Test
   void endsBrokenStreamWithAnErrorEvent() throws Exception {
-    String model = announced(FakeEndpoint.Behaviour.DIES_IN_STREAM);
+    String model = announceModel(FakeEndpoint.Behaviour.CLOSES_CONNECTION_IN_STREAM);
     String body = chat(model, Optional.empty(), Map.of()).response().body();
     assertThat(body, containsString("data: one\n\nevent: error\n"));
     assertThat(body, containsString("outcome_unknown"));
@@ -169,14 +184,14 @@
   }
 
   @Test
-  void cutsTheConnectionOfBrokenBody() throws Exception {
-    String model = announced(FakeEndpoint.Behaviour.DIES_IN_BODY);
+  void closesConnectionOfIncompleteBody() throws Exception {
+    String model = announceModel(FakeEndpoint.Behaviour.CLOSES_CONNECTION_IN_BODY);
     assertThrows(IOException.class, () -> chat(model, Optional.empty(), Map.of()));
   }
 
   @Test
-  void givesUpAtTheDeadlineAndSaysWhenToComeBack() throws Exception {
-    String model = announced(FakeEndpoint.Behaviour.HANGS);
+  void failsAtTheDeadlineWithRetryAfter() throws Exception {
+    String model = announceModel(FakeEndpoint.Behaviour.HANGS);
     long startNanos = System.nanoTime();
     TestCluster.Reply reply = chat(model, Optional.of("late"), Map.of("X-Deadline-Millis", "400"));
     final long millis = (System.nanoTime() - startNanos) / 1_000_000;
@@ -184,15 +199,15 @@
     assertThat(reply.header("Retry-After"), is(Optional.of("1")));
     assertThat(millis, is(lessThan(15_000L)));
     assertThat(chat(model, Optional.of("late"), Map.of()).code(), is("outcome_unknown"));
-    assertThat(runsInAll(), is(1));
+    assertThat(totalRuns(), is(1));
   }
 
   /** Uses deadlines so short that many expire between the claim of the key and the send. */
   @Test
-  void neverRunsWhatItRefusedAtTheDeadline() throws Exception {
-    String model = announced(FakeEndpoint.Behaviour.ANSWERS);
+  void neverRunsRequestsRefusedAtTheDeadline() throws Exception {
+    String model = announceModel(FakeEndpoint.Behaviour.RESPONDS);
     Set<String> refused = new HashSet<>();
-    for (int i = 0; i < SHORT_DEADLINES; i++) {
+    for (int i = 0; i < SHORT_DEADLINE_REQUESTS; i++) {
       String key = "short-" + i;
       String deadlineMillis = Integer.toString(1 + i % 2);
       TestCluster.Reply reply =
@@ -202,25 +217,25 @@
       }
     }
     assertThat(chat(model, Optional.of("last"), Map.of()).status(), is(200));
-    refused.retainAll(endpoints.get(0).keysRun());
+    refused.retainAll(endpoints.get(0).receivedKeys());
     assertThat("refused as not run, but run", refused, is(empty()));
   }
 
   @Test
-  void refusesAtOnceWhatExceedsTheRequestsInFlight() throws Exception {
-    String model = announced(FakeEndpoint.Behaviour.HANGS);
+  void refusesRequestsAboveMaxInFlight() throws Exception {
+    String model = announceModel(FakeEndpoint.Behaviour.HANGS);
     List<CompletableFuture<Integer>> waiting = new ArrayList<>();
     for (int i = 0; i < TestCluster.MAX_IN_FLIGHT; i++) {
       waiting.add(CompletableFuture.supplyAsync(() -> statusOf(model)));
     }
-    TestCluster.await(() -> runsInAll() == TestCluster.MAX_IN_FLIGHT);
+    TestCluster.await(() -> totalRuns() == TestCluster.MAX_IN_FLIGHT);
     TestCluster.Reply refused = chat(model, Optional.empty(), Map.of());
     assertThat(refused.code(), is("not_run"));
     endpoints.forEach(FakeEndpoint::release);
     for (CompletableFuture<Integer> status : waiting) {
       assertThat(status.get(), is(200));
     }
-    assertThat(runsInAll(), is(TestCluster.MAX_IN_FLIGHT));
+    assertThat(totalRuns(), is(TestCluster.MAX_IN_FLIGHT));
   }
 
   private int statusOf(String model) {
@@ -232,8 +247,8 @@
   }
 
   @Test
-  void limitsAnOrganisationAndSaysWhenToComeBack() throws Exception {
-    String model = announced(FakeEndpoint.Behaviour.ANSWERS);
+  void limitsAnOrganisationWithRetryAfter() throws Exception {
+    String model = announceModel(FakeEndpoint.Behaviour.RESPONDS);
     Map<String, String> limited = Map.of("X-Organisation", "limited");
     int served = 0;
     TestCluster.Reply refused = chat(model, Optional.empty(), limited);
@@ -249,18 +264,18 @@
   }
 
   @Test
-  void refusesHopMarksWithoutAnEntrysTag() throws Exception {
-    String model = announced(FakeEndpoint.Behaviour.ANSWERS);
-    for (String mark : List.of("X-Lacewingcroft-Forwarded", "X-Lacewingcroft-Owner-Hop")) {
-      TestCluster.Reply reply = chat(model, Optional.of("k"), Map.of(mark, "pirkanmaa"));
+  void refusesHopHeadersWithoutAuthenticationTag() throws Exception {
+    String model = announceModel(FakeEndpoint.Behaviour.RESPONDS);
+    for (String header : List.of("X-Lacewingcroft-Forwarded", "X-Lacewingcroft-Owner-Hop")) {
+      TestCluster.Reply reply = chat(model, Optional.of("k"), Map.of(header, "pirkanmaa"));
       assertThat(reply.code(), is("unauthenticated"));
-      assertThat(runsInAll(), is(0));
+      assertThat(totalRuns(), is(0));
     }
   }
 
   @Test
-  void sendsNothingNewToAnEndpointThatIsLeaving() throws Exception {
-    String model = announced(FakeEndpoint.Behaviour.ANSWERS);
+  void sendsNoNewRequestsToADrainingEndpoint() throws Exception {
+    String model = announceModel(FakeEndpoint.Behaviour.RESPONDS);
     assertThat(chat(model, Optional.empty(), Map.of()).status(), is(200));
     cluster.announce(entry, model + "-a", REGION, model, endpoints.get(0).port(), true);
     assertThat(chat(model, Optional.empty(), Map.of()).code(), is("not_run"));
@@ -269,11 +284,11 @@
         "announcement with an older sequence",
         chat(model, Optional.empty(), Map.of()).status(),
         is(503));
-    assertThat(runsInAll(), is(1));
+    assertThat(totalRuns(), is(1));
   }
 
   /** Announces endpoints a, b and so on for a new model, and returns the model. */
-  private String announced(FakeEndpoint.Behaviour... behaviours) throws Exception {
+  private String announceModel(FakeEndpoint.Behaviour... behaviours) throws Exception {
     String model = "model-" + models++;
     for (int i = 0; i < behaviours.length; i++) {
       FakeEndpoint endpoint = endpoint(behaviours[i]);
@@ -289,7 +304,7 @@
     return endpoint;
   }
 
-  private int runsInAll() {
+  private int totalRuns() {
     return endpoints.stream().mapToInt(FakeEndpoint::runs).sum();
   }
 
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/peer/LoopbackPortsTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/peer/LoopbackPortsTest.java
@@ -25,23 +25,24 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 8})
-  void portsGivenAreNotTakenByOutgoingConnections(int count) throws IOException {
-    Set<Integer> local = new HashSet<>();
+  void outgoingConnectionsDoNotUseAllocatedPorts(int count) throws IOException {
+    Set<Integer> ephemeralPorts = new HashSet<>();
     List<Socket> connections = new ArrayList<>();
     try (ServerSocket server = new ServerSocket(0, CONNECTIONS, InetAddress.getLoopbackAddress())) {
       int first = LoopbackPorts.neighbours(count);
       for (int i = 0; i < CONNECTIONS; i++) {
         Socket connection = new Socket(server.getInetAddress(), server.getLocalPort());
         connections.add(connection);
-        local.add(connection.getLocalPort());
+        ephemeralPorts.add(connection.getLocalPort());
       }
       for (int port = first; port < first + count; port++) {
-        assertThat(local.contains(port), is(false));
-        try (ServerSocket late = new ServerSocket(port, 1, InetAddress.getByName("127.0.0.2"))) {
-          assertThat(late.isBound(), is(true));
+        assertThat(ephemeralPorts.contains(port), is(false));
+        try (ServerSocket listener =
+            new ServerSocket(port, 1, InetAddress.getByName("127.0.0.2"))) {
+          assertThat(listener.isBound(), is(true));
         }
       }
-      assertThat(local, everyItem(greaterThanOrEqualTo(LoopbackPorts.END)));
+      assertThat(ephemeralPorts, everyItem(greaterThanOrEqualTo(LoopbackPorts.MAX_PORT_EXCLUSIVE)));
     } finally {
       for (Socket connection : connections) {
         connection.close();
@@ -50,26 +51,26 @@
   }
 
   @Test
-  void noPortIsGivenTwice() throws IOException {
-    Set<Integer> given = new HashSet<>();
+  void allocatesNoPortTwice() throws IOException {
+    Set<Integer> allocated = new HashSet<>();
     for (int i = 0; i < 200; i++) {
-      given.add(LoopbackPorts.free());
+      allocated.add(LoopbackPorts.free());
     }
-    assertThat(given, hasSize(200));
-    assertThat(given, everyItem(greaterThanOrEqualTo(LoopbackPorts.LOWEST)));
-    assertThat(given, everyItem(lessThan(LoopbackPorts.END)));
+    assertThat(allocated, hasSize(200));
+    assertThat(allocated, everyItem(greaterThanOrEqualTo(LoopbackPorts.MIN_PORT)));
+    assertThat(allocated, everyItem(lessThan(LoopbackPorts.MAX_PORT_EXCLUSIVE)));
   }
 
   /** A port with a listener on one local address is not allocated, even if others are free. */
   @Test
-  void portsInUseArePassedOver() throws IOException {
+  void skipsPortsInUse() throws IOException {
     int first = LoopbackPorts.neighbours(2);
-    try (ServerSocket taken = new ServerSocket(first, 1, InetAddress.getByName("127.0.0.3"))) {
-      Set<Integer> given = new HashSet<>();
+    try (ServerSocket inUse = new ServerSocket(first, 1, InetAddress.getByName("127.0.0.3"))) {
+      Set<Integer> allocated = new HashSet<>();
       for (int i = 0; i < 100; i++) {
-        given.add(LoopbackPorts.free());
+        allocated.add(LoopbackPorts.free());
       }
-      assertThat(given.contains(taken.getLocalPort()), is(false));
+      assertThat(allocated.contains(inUse.getLocalPort()), is(false));
     }
   }
 }
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/peer/MembershipTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/peer/MembershipTest.java
@@ -19,7 +19,7 @@
 /** Guards against a daemon that treats the time it was frozen as missed heartbeats of others. */
 class MembershipTest {
   private static final Duration INTERVAL = Duration.ofSeconds(1);
-  private static final int SETTLING_INTERVALS = 12;
+  private static final int CONVERGENCE_INTERVALS = 12;
   private final Vertx vertx = Vertx.vertx();
   private final PeerTransport transport =
       new PeerTransport(vertx, new FrameCodec("0123456789abcdef".getBytes(StandardCharsets.UTF_8)));
@@ -38,23 +38,23 @@
 
   @ParameterizedTest
   @CsvSource({"1, true", "2, true", "5, true", "6, false", "20, false", "3600, false"})
-  void knowsItsPeersButIsNotSettledAfterFreeze(int frozenSeconds, boolean settled) {
+  void keepsMembersButIsNotConvergedAfterFreeze(int frozenSeconds, boolean converged) {
     Membership membership = new Membership(info("entry-1"), List.of(), transport, clock, INTERVAL);
-    for (int i = 1; i <= SETTLING_INTERVALS; i++) {
+    for (int i = 1; i <= CONVERGENCE_INTERVALS; i++) {
       now = now.plus(INTERVAL);
-      hear(membership, i);
-      membership.beat(report());
+      receiveGossip(membership, i);
+      membership.sendRound(report());
     }
     assertThat(membership.converged(), is(true));
     now = now.plusSeconds(frozenSeconds);
-    assertThat("before the first gossip round", membership.converged(), is(settled));
-    membership.beat(report());
+    assertThat("before the first gossip round", membership.converged(), is(converged));
+    membership.sendRound(report());
     assertThat(membership.table().get("entry-2").isPresent(), is(true));
-    assertThat("after the first gossip round", membership.converged(), is(settled));
-    for (int i = 1; i <= SETTLING_INTERVALS; i++) {
+    assertThat("after the first gossip round", membership.converged(), is(converged));
+    for (int i = 1; i <= CONVERGENCE_INTERVALS; i++) {
       now = now.plus(INTERVAL);
-      hear(membership, SETTLING_INTERVALS + i);
-      membership.beat(report());
+      receiveGossip(membership, CONVERGENCE_INTERVALS + i);
+      membership.sendRound(report());
     }
     assertThat("converged again", membership.converged(), is(true));
   }
@@ -63,9 +63,9 @@
     return new Gossiper.SelfReport(false, 1, Map.of());
   }
 
-  private static void hear(Membership membership, long counter) {
-    List<Liveness> signs = List.of(new Liveness("entry-2", 1, counter, false));
+  private static void receiveGossip(Membership membership, long counter) {
+    List<Liveness> liveness = List.of(new Liveness("entry-2", 1, counter, false));
     membership.onGossip(
-        new PeerMessage.Gossip(info("entry-2"), 1, signs, List.of(), List.of(), false), 1);
+        new PeerMessage.Gossip(info("entry-2"), 1, liveness, List.of(), List.of(), false), 1);
   }
 }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
@@ -236,7 +236,7 @@
         timers[i] =
             vertx.setPeriodic(
                 interval.toMillis(),
-                id -> m.beat(new Gossiper.SelfReport(false, 1, Map.of("writer", 4))));
+                id -> m.sendRound(new Gossiper.SelfReport(false, 1, Map.of("writer", 4))));
       }
       long settle = run.toMillis() / 2;
       TimeUnit.MILLISECONDS.sleep(settle);
