--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/RequestFaultTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/RequestFaultTest.java
@@ -274,7 +274,7 @@
   }
 
   @Test
-  void sendsNoNewRequestsToADrainingEndpoint() throws Exception {
+  void sendsNoNewRequestsToDrainingEndpoint() throws Exception {
     String model = announceModel(FakeEndpoint.Behaviour.RESPONDS);
     assertThat(chat(model, Optional.empty(), Map.of()).status(), is(200));
     cluster.announce(entry, model + "-a", REGION, model, endpoints.get(0).port(), true);
