--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/control/RoutingControlTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/control/RoutingControlTest.java
@@ -32,8 +32,8 @@
     return future.toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
   }
 
-  private static RoutingControl open(DurableLog log, CompletableFuture<Throwable> failed) {
-    return new RoutingControl(SELF, log, 0, (to, m) -> {}, state -> {}, failed::complete);
+  private static RoutingControl open(DurableLog log, CompletableFuture<Throwable> diskFailure) {
+    return new RoutingControl(SELF, log, 0, (to, m) -> {}, state -> {}, diskFailure::complete);
   }
 
   private static ChangeResult submit(RoutingControl control, long version) throws Exception {
@@ -63,15 +63,15 @@
             });
     log.compact(
         new Snapshot(0, 0, ConfigState.EMPTY.withMembers(Set.of(SELF))), java.util.List.of());
-    CompletableFuture<Throwable> failed = new CompletableFuture<>();
-    RoutingControl control = open(log, failed);
+    CompletableFuture<Throwable> diskFailure = new CompletableFuture<>();
+    RoutingControl control = open(log, diskFailure);
     assertThat(submit(control, 5), instanceOf(ChangeResult.Accepted.class));
     assertThat(control.view().inMajority(), equalTo(true));
 
     diskFull.set(true);
     ChangeResult result =
         await(control.submit(new Command.RoutingChange(6, "v6"), Duration.ofSeconds(2)));
-    failed.get(5, TimeUnit.SECONDS);
+    diskFailure.get(5, TimeUnit.SECONDS);
     assertThat(result, instanceOf(ChangeResult.Unknown.class));
     assertThat(control.view().inMajority(), equalTo(false));
 
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/ConfigPatchApiTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/ConfigPatchApiTest.java
@@ -14,7 +14,7 @@
 /** Checks that a patch reaches the entries and does not change what it does not name. */
 class ConfigPatchApiTest {
   @Test
-  void patchesAreInForceAtTheEntries(@TempDir Path dir) throws Exception {
+  void patchesBecomeActiveAtEntries(@TempDir Path dir) throws Exception {
     try (TestCluster cluster =
         new TestCluster(dir.resolve("data"), "organisations: [{name: kept}, {name: gone}]")) {
       Daemon entry = cluster.startEntry("entry-1", "uusimaa", Duration.ZERO);
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/PausedEndpointsTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/PausedEndpointsTest.java
@@ -81,9 +81,9 @@
                   ? FakeEndpoint.Behaviour.REQUESTS_PAUSE
                   : FakeEndpoint.Behaviour.RESPONDS));
     }
-    long end = System.nanoTime() + TEST_DURATION.toNanos();
+    long endNanos = System.nanoTime() + TEST_DURATION.toNanos();
     List<String> refusedWithoutPause = new ArrayList<>();
-    while (System.nanoTime() < end) {
+    while (System.nanoTime() < endNanos) {
       TestCluster.Reply reply = announceAndChat(model);
       if (reply.status() == 503 && reply.header("Retry-After").isEmpty()) {
         refusedWithoutPause.add(reply.code());
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/RequestFaultTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/RequestFaultTest.java
@@ -45,7 +45,7 @@
   private final List<FakeEndpoint> endpoints = new ArrayList<>();
   private TestCluster cluster;
   private Daemon entry;
-  private int models;
+  private int modelCount;
 
   /** How the caller marks its request. */
   private enum RequestType {
@@ -160,17 +160,17 @@
 
   @Test
   void reportsNotRunOnlyIfNoEndpointReceivedTheRequest() throws Exception {
-    FakeEndpoint gone = endpoint(FakeEndpoint.Behaviour.RESPONDS);
-    String model = "model-" + models++;
-    cluster.announce(entry, model + "-a", REGION, model, gone.port(), false);
-    gone.close();
+    FakeEndpoint unreachable = endpoint(FakeEndpoint.Behaviour.RESPONDS);
+    String model = "model-" + modelCount++;
+    cluster.announce(entry, model + "-a", REGION, model, unreachable.port(), false);
+    unreachable.close();
     TestCluster.await(() -> chat(model, Optional.of("k"), Map.of()).status() == 503);
     TestCluster.Reply reply = chat(model, Optional.of("k"), Map.of());
     assertThat(reply.code(), is("not_run"));
     assertThat(reply.header("X-Lacewingcroft-Run"), is(Optional.of("no")));
     assertThat(reply.header("Retry-After"), is(Optional.of("1")));
-    FakeEndpoint back = endpoint(FakeEndpoint.Behaviour.RESPONDS);
-    cluster.announce(entry, model + "-b", REGION, model, back.port(), false);
+    FakeEndpoint replacement = endpoint(FakeEndpoint.Behaviour.RESPONDS);
+    cluster.announce(entry, model + "-b", REGION, model, replacement.port(), false);
     assertThat("the key was released", chat(model, Optional.of("k"), Map.of()).status(), is(200));
   }
 
@@ -224,15 +224,15 @@
   @Test
   void refusesRequestsAboveMaxInFlight() throws Exception {
     String model = announceModel(FakeEndpoint.Behaviour.HANGS);
-    List<CompletableFuture<Integer>> waiting = new ArrayList<>();
+    List<CompletableFuture<Integer>> responses = new ArrayList<>();
     for (int i = 0; i < TestCluster.MAX_IN_FLIGHT; i++) {
-      waiting.add(CompletableFuture.supplyAsync(() -> statusOf(model)));
+      responses.add(CompletableFuture.supplyAsync(() -> statusOf(model)));
     }
     TestCluster.await(() -> totalRuns() == TestCluster.MAX_IN_FLIGHT);
     TestCluster.Reply refused = chat(model, Optional.empty(), Map.of());
     assertThat(refused.code(), is("not_run"));
     endpoints.forEach(FakeEndpoint::release);
-    for (CompletableFuture<Integer> status : waiting) {
+    for (CompletableFuture<Integer> status : responses) {
       assertThat(status.get(), is(200));
     }
     assertThat(totalRuns(), is(TestCluster.MAX_IN_FLIGHT));
@@ -289,7 +289,7 @@
 
   /** Announces endpoints a, b and so on for a new model, and returns the model. */
   private String announceModel(FakeEndpoint.Behaviour... behaviours) throws Exception {
-    String model = "model-" + models++;
+    String model = "model-" + modelCount++;
     for (int i = 0; i < behaviours.length; i++) {
       FakeEndpoint endpoint = endpoint(behaviours[i]);
       String id = model + "-" + (char) ('a' + i);
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/TestCluster.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/TestCluster.java
@@ -59,11 +59,11 @@
   Daemon startEntry(String nodeId, String region, Duration hedgeAfter) throws Exception {
     Daemon entry = start(settings(Role.ENTRY, nodeId, region, hedgeAfter, null));
     await(() -> send(entry, "GET", "/readyz", Map.of(), "").status() == 200);
-    await(() -> entriesSeenBy(entry) == daemons.size() - 1);
+    await(() -> entriesListedBy(entry) == daemons.size() - 1);
     return entry;
   }
 
-  private int entriesSeenBy(Daemon daemon) throws Exception {
+  private int entriesListedBy(Daemon daemon) throws Exception {
     return send(daemon, "GET", "/v1/entries", Map.of(), "").body().path("entries").size();
   }
 
