--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
@@ -133,7 +133,7 @@
     this.startedAt = clock.instant();
     this.seeds = settings.seedPeers();
     this.transport = new FleetTransport(context, settings);
-    metrics.expose(transport.traffic());
+    metrics.registerPeerTraffic(transport.traffic());
     this.leaving = new LeavingConfirmations(vertx, settings.peerAddress(), transport);
     this.aggregator =
         new UpdateAggregator(
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
@@ -608,7 +608,7 @@
   }
 
   private void tryFailed(UpstreamAttempt attempt, String what, String detail) {
-    context.metrics().triesFailed.labelValues(what).inc();
+    context.metrics().failedAttempts.labelValues(what).inc();
     log.tryFailed(attempt.target(), what, detail, lastEventId, context.now());
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/metrics/GatewayMetrics.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/metrics/GatewayMetrics.java
@@ -27,7 +27,7 @@
           .register(registry);
 
   /** Extra sends, which are all sends of a request after its first, by reason: retry, hedge. */
-  public final Counter retries =
+  public final Counter extraSends =
       Counter.builder()
           .name("lwc_extra_sends_total")
           .help("Sends beyond a request's first, by reason")
@@ -102,7 +102,7 @@
           .register(registry);
 
   /** Attempts that received no response, by what the target did. */
-  public final Counter triesFailed =
+  public final Counter failedAttempts =
       Counter.builder()
           .name("lwc_tries_failed_total")
           .help("Tries without an answer, by what the target did")
@@ -135,7 +135,7 @@
           .register(registry);
 
   /** Registers metrics for the messages between instances by kind. */
-  public void expose(PeerTraffic traffic) {
+  public void registerPeerTraffic(PeerTraffic traffic) {
     exposeByDirection(
         "lwc_peer_messages_total",
         "Messages between instances by kind and direction",
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/PeerTraffic.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/PeerTraffic.java
@@ -49,7 +49,7 @@
   }
 
   /** Records the time spent on handling a message. */
-  public void handled(PeerMessage message, long nanos) {
+  public void recordHandling(PeerMessage message, long nanos) {
     countersOf(message).workNanos.add(nanos);
   }
 
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/FleetHarness.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/FleetHarness.java
@@ -148,8 +148,8 @@
         region,
         region + "-a",
         Map.of("north-a", "north", "south-a", "south"),
-        LoopbackPorts.free(),
-        LoopbackPorts.free(),
+        LoopbackPorts.allocatePort(),
+        LoopbackPorts.allocatePort(),
         seeds,
         dataDir,
         true,
@@ -163,7 +163,7 @@
   Entry startEntry(String name, String region) throws Exception {
     FleetSettings settings =
         settings(name, region, List.of(controlSettings.peerAddress()), Optional.empty());
-    int publicPort = LoopbackPorts.free();
+    int publicPort = LoopbackPorts.allocatePort();
     EntryInfo self =
         new EntryInfo(
             name,
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/peer/LoopbackPortsTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/peer/LoopbackPortsTest.java
@@ -29,7 +29,7 @@
     Set<Integer> ephemeralPorts = new HashSet<>();
     List<Socket> connections = new ArrayList<>();
     try (ServerSocket server = new ServerSocket(0, CONNECTIONS, InetAddress.getLoopbackAddress())) {
-      int first = LoopbackPorts.neighbours(count);
+      int first = LoopbackPorts.allocateConsecutivePorts(count);
       for (int i = 0; i < CONNECTIONS; i++) {
         Socket connection = new Socket(server.getInetAddress(), server.getLocalPort());
         connections.add(connection);
@@ -54,7 +54,7 @@
   void allocatesNoPortTwice() throws IOException {
     Set<Integer> allocated = new HashSet<>();
     for (int i = 0; i < 200; i++) {
-      allocated.add(LoopbackPorts.free());
+      allocated.add(LoopbackPorts.allocatePort());
     }
     assertThat(allocated, hasSize(200));
     assertThat(allocated, everyItem(greaterThanOrEqualTo(LoopbackPorts.MIN_PORT)));
@@ -64,11 +64,11 @@
   /** A port with a listener on one local address is not allocated, even if others are free. */
   @Test
   void skipsPortsInUse() throws IOException {
-    int first = LoopbackPorts.neighbours(2);
+    int first = LoopbackPorts.allocateConsecutivePorts(2);
     try (ServerSocket inUse = new ServerSocket(first, 1, InetAddress.getByName("127.0.0.3"))) {
       Set<Integer> allocated = new HashSet<>();
       for (int i = 0; i < 100; i++) {
-        allocated.add(LoopbackPorts.free());
+        allocated.add(LoopbackPorts.allocatePort());
       }
       assertThat(allocated.contains(inUse.getLocalPort()), is(false));
     }
