--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/ConsensusDriver.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/ConsensusDriver.java
@@ -133,7 +133,7 @@
       Output output = action.apply(steadyMillis());
       output.messages().forEach(m -> listener.send(m.to(), m.message()));
       listener.onStep(member, output.committed());
-      output.decisions().forEach(d -> completeProposal(d.ticket(), d.result()));
+      output.decisions().forEach(d -> completeProposal(d.proposalId(), d.result()));
     } catch (RuntimeException e) {
       LOG.log(System.Logger.Level.ERROR, "control.stopped", e);
       executor.shutdownNow();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/RoutingControl.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/RoutingControl.java
@@ -214,7 +214,7 @@
   /** Starts replicating to an instance that is not a member, if this instance is the leader. */
   public void admit(String learner) {
     if (!view.members().contains(learner)) {
-      driver.enqueue(now -> member.admit(learner, now));
+      driver.enqueue(now -> member.addLearner(learner, now));
     }
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
@@ -19,7 +19,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
-import org.lacewingcroft.config.ConfigLearning;
+import org.lacewingcroft.config.ConfigReceiver;
 import org.lacewingcroft.config.ConfigStore;
 import org.lacewingcroft.control.ControlService;
 import org.lacewingcroft.error.ErrorKind;
@@ -55,7 +55,7 @@
   private final Vertx vertx;
   private final GatewayMetrics metrics = new GatewayMetrics();
   private final ConfigStore configs = new ConfigStore();
-  private final ConfigLearning configReceiver;
+  private final ConfigReceiver configReceiver;
   private final EndpointRegistry endpoints;
   private final PeerTransport transport;
   private volatile Membership membership;
@@ -70,7 +70,7 @@
     this.settings = settings;
     this.vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(4));
     configs.onApplied(this::notifyPeers);
-    this.configReceiver = new ConfigLearning(configs, settings.heartbeatInterval().multipliedBy(3));
+    this.configReceiver = new ConfigReceiver(configs, settings.heartbeatInterval().multipliedBy(3));
     this.endpoints = new EndpointRegistry(clock, settings.endpointLease());
     this.transport = new PeerTransport(vertx, new FrameCodec(settings.secret()));
   }
@@ -277,11 +277,11 @@
    * Requests a peer's configuration if its version is newer than any version offered to this entry.
    */
   private void onPeerVersion(String peerAddress, long version) {
-    if (settings.role() == Role.ENTRY && configReceiver.heard(version, clock.instant())) {
+    if (settings.role() == Role.ENTRY && configReceiver.onReportedVersion(version, clock.instant())) {
       transport.send(
           peerAddress,
           new PeerMessage.ConfigRequest(
-              configReceiver.highestOffered(), membership.self().peerAddress()));
+              configReceiver.highestOfferedVersion(), membership.self().peerAddress()));
     }
   }
 
@@ -313,11 +313,11 @@
       onPeerVersion(notice.replyTo(), notice.version());
     } else if (message instanceof PeerMessage.ConfigOffer offer) {
       if (settings.role() == Role.ENTRY) {
-        configReceiver.offered(offer.version(), offer.document(), clock.instant());
+        configReceiver.onOffer(offer.version(), offer.document(), clock.instant());
       }
     } else if (message instanceof PeerMessage.ConfigPatches offer) {
       if (settings.role() == Role.ENTRY) {
-        configReceiver.offeredPatches(offer.baseVersion(), offer.patches());
+        configReceiver.onPatches(offer.baseVersion(), offer.patches());
       }
     } else if (message instanceof PeerMessage.ConfigRequest request) {
       onConfigRequest(request);
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/Membership.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/Membership.java
@@ -71,10 +71,10 @@
    * @param configVersion the configuration version that is active on this daemon
    */
   public void onGossip(PeerMessage.Gossip gossip, long configVersion) {
-    MemberTable current = table.updateAndGet(t -> t.heard(gossip, clock.instant()));
+    MemberTable current = table.updateAndGet(t -> t.withGossip(gossip, clock.instant()));
     firstGossipAt.updateAndGet(recorded -> recorded.or(() -> Optional.of(clock.instant())));
     gossiper
-        .answer(gossip, configVersion, current)
+        .respond(gossip, configVersion, current)
         .ifPresent(reply -> transport.send(reply.address(), reply.gossip()));
   }
 
@@ -103,7 +103,7 @@
   }
 
   private Duration suspicionTimeout() {
-    return interval.multipliedBy(MemberTable.suspectIntervals(table().followed().size() + 1));
+    return interval.multipliedBy(MemberTable.suspicionTimeoutIntervals(table().trackedMembers().size() + 1));
   }
 
   /** Sends this interval's gossip. */
@@ -113,7 +113,7 @@
     }
     lastRoundAt.set(Optional.of(clock.instant()));
     MemberTable current = table.updateAndGet(t -> t.withoutDead(clock.instant()));
-    for (Gossiper.Outgoing message : gossiper.round(report, current, clock.instant())) {
+    for (Gossiper.Outgoing message : gossiper.nextMessages(report, current, clock.instant())) {
       transport.send(message.address(), message.gossip());
     }
   }
@@ -125,7 +125,7 @@
   private void resetAfterStall() {
     LOG.log(System.Logger.Level.WARNING, "membership.broke_off", "node", self.nodeId());
     firstGossipAt.set(Optional.empty());
-    table.updateAndGet(t -> t.allHeardAt(clock.instant()));
+    table.updateAndGet(t -> t.withAllSeenAt(clock.instant()));
   }
 
   /** Returns the peer address of a member, or empty if it is unknown. */
@@ -149,7 +149,7 @@
 
   /** Sends a message to the known entries of this daemon's region. */
   public void sendToRegionEntries(PeerMessage message) {
-    for (Member m : table.get().known(MemberInfo.ENTRY, self.region())) {
+    for (Member m : table.get().membersOf(MemberInfo.ENTRY, self.region())) {
       transport.send(m.info().peerAddress(), message);
     }
   }
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/peer/MembershipTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/peer/MembershipTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.lacewingcroft.membership.Gossiper;
-import org.lacewingcroft.membership.Liveness;
+import org.lacewingcroft.membership.Heartbeat;
 
 /** Guards against a daemon that treats the time it was frozen as missed heartbeats of others. */
 class MembershipTest {
@@ -64,7 +64,7 @@
   }
 
   private static void receiveGossip(Membership membership, long counter) {
-    List<Liveness> liveness = List.of(new Liveness("entry-2", 1, counter, false));
+    List<Heartbeat> liveness = List.of(new Heartbeat("entry-2", 1, counter, false));
     membership.onGossip(
         new PeerMessage.Gossip(info("entry-2"), 1, liveness, List.of(), List.of(), false), 1);
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/MessageCodec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/MessageCodec.java
@@ -16,7 +16,7 @@
 import org.lacewingcroft.fleet.FleetCodec;
 import org.lacewingcroft.idempotency.Claimant;
 import org.lacewingcroft.idempotency.IdempotencyTable;
-import org.lacewingcroft.membership.Liveness;
+import org.lacewingcroft.membership.Heartbeat;
 import org.lacewingcroft.membership.RegionDigest;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
@@ -148,14 +148,14 @@
     packMember(p, g.sender());
     p.packLong(g.configVersion());
     p.packArrayHeader(g.signs().size());
-    for (Liveness s : g.signs()) {
+    for (Heartbeat s : g.signs()) {
       p.packString(s.nodeId()).packLong(s.incarnation()).packLong(s.counter());
-      p.packBoolean(s.leaving());
+      p.packBoolean(s.draining());
     }
     packMembers(p, g.introductions());
     p.packArrayHeader(g.digests().size());
     for (RegionDigest d : g.digests()) {
-      p.packString(d.region()).packString(d.originator()).packLong(d.stamp());
+      p.packString(d.region()).packString(d.originator()).packLong(d.sequence());
       packMembers(p, d.contacts());
       packCounts(p, d.freeSlotsByModel());
     }
@@ -165,9 +165,9 @@
   private static PeerMessage.Gossip unpackGossip(MessageUnpacker u) throws IOException {
     final MemberInfo sender = unpackMember(u);
     final long configVersion = u.unpackLong();
-    List<Liveness> signs = new ArrayList<>();
+    List<Heartbeat> signs = new ArrayList<>();
     for (int n = u.unpackArrayHeader(); n > 0; n--) {
-      signs.add(new Liveness(u.unpackString(), u.unpackLong(), u.unpackLong(), u.unpackBoolean()));
+      signs.add(new Heartbeat(u.unpackString(), u.unpackLong(), u.unpackLong(), u.unpackBoolean()));
     }
     List<MemberInfo> introductions = unpackMembers(u);
     List<RegionDigest> digests = new ArrayList<>();
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/PeerMessage.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/PeerMessage.java
@@ -7,7 +7,7 @@
 import org.lacewingcroft.fleet.FleetMessage;
 import org.lacewingcroft.idempotency.Claimant;
 import org.lacewingcroft.idempotency.IdempotencyTable;
-import org.lacewingcroft.membership.Liveness;
+import org.lacewingcroft.membership.Heartbeat;
 import org.lacewingcroft.membership.RegionDigest;
 
 /**
@@ -29,7 +29,7 @@
   record Gossip(
       MemberInfo sender,
       long configVersion,
-      List<Liveness> signs,
+      List<Heartbeat> signs,
       List<MemberInfo> introductions,
       List<RegionDigest> digests,
       boolean asking)
