--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/TestCluster.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/TestCluster.java
@@ -15,7 +15,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** A control daemon and entry daemons in this process, on free ports, for tests. */
+/** A control daemon and entry daemons that run in the test process on free ports. */
 final class TestCluster implements AutoCloseable {
   static final int MAX_BODY_BYTES = 4_096;
   static final int MAX_IN_FLIGHT = 8;
@@ -27,7 +27,7 @@
   private final List<Daemon> daemons = new ArrayList<>();
   private final Daemon control;
 
-  /** An answer of a daemon; a body that is no JSON document reads as null. */
+  /** A response of a daemon; a body that is not JSON is represented by a JSON null. */
   record Reply(int status, JsonNode body, HttpResponse<String> response) {
     String code() {
       return body.path("error").path("code").asText();
@@ -55,15 +55,15 @@
     return control;
   }
 
-  /** Starts an entry and waits until it has the configuration and knows its peers. */
+  /** Starts an entry and waits until it is ready and lists all entries. */
   Daemon startEntry(String nodeId, String region, Duration hedgeAfter) throws Exception {
     Daemon entry = start(settings(Role.ENTRY, nodeId, region, hedgeAfter, null));
     await(() -> send(entry, "GET", "/readyz", Map.of(), "").status() == 200);
-    await(() -> entriesSeenBy(entry) == daemons.size() - 1);
+    await(() -> entriesListedBy(entry) == daemons.size() - 1);
     return entry;
   }
 
-  private int entriesSeenBy(Daemon daemon) throws Exception {
+  private int entriesListedBy(Daemon daemon) throws Exception {
     return send(daemon, "GET", "/v1/entries", Map.of(), "").body().path("entries").size();
   }
 
