--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
@@ -22,19 +22,22 @@
 import org.lacewingcroft.request.RequestFingerprint;
 
 /**
- * The contents that an entry does not send to endpoints any more, because they end the endpoints
- * that run them. The entry tells the control instances under which contents endpoints broke off,
- * again until one of them has confirmed it, and hears from them which are quarantined; what it has
- * seen by itself counts at once.
+ * The request contents that an entry does not send to endpoints because they crash the endpoints
+ * that run them. The entry reports to the control instances which contents were running when
+ * endpoints crashed, repeating a report until one of them has confirmed it, and receives from them
+ * which contents are quarantined; its own observations apply immediately.
  *
- * <p>Owned by the event loop.
+ * <p>Confined to the event loop thread.
  */
 public final class RequestQuarantine {
-  /** An endpoint that ends breaks off all that it runs; it is told in one message. */
-  private static final long GATHER_MILLIS = 5;
+  /**
+   * Delay in which suspicions are batched: an endpoint that crashes closes the connections of all
+   * its requests at the same time, and they are reported in one message.
+   */
+  private static final long BATCH_DELAY_MILLIS = 5;
 
-  /** Messages kept until they are confirmed. */
-  private static final int MOST_UNCONFIRMED = 64;
+  /** Maximum number of messages retained until they are confirmed. */
+  private static final int MAX_UNCONFIRMED = 64;
 
   private final Vertx vertx;
   private final String name;
@@ -45,29 +48,32 @@
   private final Supplier<List<String>> entries;
   private final SuspicionLedger ledger = new SuspicionLedger();
   private final RecentCompletions completions = new RecentCompletions();
-  private final UnansweredRuns unanswered = new UnansweredRuns();
+  private final UnansweredRuns unansweredRuns = new UnansweredRuns();
   private final QuarantineTrials trials = new QuarantineTrials();
   private final CrashProbe probe;
-  private final PendingCrashProbes pending = new PendingCrashProbes();
-  private final List<Suspicion> gathered = new ArrayList<>();
-  private final Map<Long, Told> unconfirmed = BoundedMap.evictingOldest(MOST_UNCONFIRMED);
+  private final PendingCrashProbes pendingProbes = new PendingCrashProbes();
+  private final List<Suspicion> nextBatch = new ArrayList<>();
+  private final Map<Long, Batch> unconfirmed = BoundedMap.evictingOldest(MAX_UNCONFIRMED);
   private long nextCallId = 1;
 
-  /** What was gathered until an instant; told again later, its ends are older by then. */
-  private record Told(List<Suspicion> suspicions, Instant gatheredAt) {
-    private List<Suspicion> at(Instant now) {
-      Duration since = Duration.between(gatheredAt, now);
+  /**
+   * A batch of suspicions and the instant to which their ages refer; a later resend has to increase
+   * the ages by the time since then.
+   */
+  private record Batch(List<Suspicion> suspicions, Instant batchedAt) {
+    private List<Suspicion> agedTo(Instant now) {
+      Duration since = Duration.between(batchedAt, now);
       return suspicions.stream().map(s -> s.agedBy(since)).toList();
     }
   }
 
   /**
-   * Creates it with nothing quarantined.
+   * Creates an empty quarantine.
    *
    * @param name the entry's name
-   * @param self its address
-   * @param controls the control instances that the entry goes by now
-   * @param entries the names of all entries
+   * @param self its peer address
+   * @param controls returns the control instances that the entry follows
+   * @param entries returns the names of all entries
    */
   RequestQuarantine(
       Vertx vertx,
@@ -88,131 +94,132 @@
   }
 
   /**
-   * Returns how long a content is still quarantined, empty if it may run. Once in a while a
-   * quarantined one may.
+   * Returns how long a content remains quarantined, or empty if it may run. Now and then a
+   * quarantined content is allowed to run as a trial.
    */
   public Optional<Duration> remainingQuarantine(RequestFingerprint content) {
     Instant now = clock.instant();
-    Optional<Suspicion> known = ledger.quarantined(content, now);
-    if (known.isEmpty()) {
+    Optional<Suspicion> suspicion = ledger.quarantined(content, now);
+    if (suspicion.isEmpty()) {
       return Optional.empty();
     }
-    if (trials.tryStartTrial(known.get(), name, entries.get(), now)) {
-      QuarantineLog.logTrial(known.get());
+    if (trials.tryStartTrial(suspicion.get(), name, entries.get(), now)) {
+      QuarantineLog.logTrial(suspicion.get());
       return Optional.empty();
     }
     return ledger.remainingQuarantine(content, now);
   }
 
-  /** Returns how many contents are quarantined. */
+  /** Returns the number of quarantined contents. */
   public int size() {
     return ledger.quarantined(clock.instant()).size();
   }
 
-  /** Notes that an endpoint has answered a content in full. */
+  /** Records that an endpoint has completed a response to a content. */
   public void completed(RequestFingerprint content) {
     Instant now = clock.instant();
     completions.record(content, now);
     if (ledger.quarantined(content, now).isPresent()) {
-      learn(Suspicion.cleared(content));
+      recordAndReport(Suspicion.cleared(content));
     }
   }
 
   /**
-   * Notes that an endpoint closed the connection on which it had a content to run. That speaks
-   * against the content once it turns out that the endpoint has ended.
+   * Records that an endpoint closed the connection on which it was running a content. This counts
+   * as evidence against the content only if the endpoint turns out to have crashed.
    */
   public void connectionLost(EndpointTracker endpoint, RequestFingerprint content) {
-    unanswered(endpoint.record(), content, UnansweredRuns.Kind.BROKEN_OFF);
-    Future<Boolean> verdict =
+    recordUnanswered(endpoint.record(), content, UnansweredRuns.Kind.BROKEN_OFF);
+    Future<Boolean> result =
         probe
             .hasCrashed(SocketAddresses.parse(endpoint.record().address()))
             .onSuccess(
-                hasEnded -> {
-                  if (hasEnded) {
-                    ended(endpoint.record(), endpoint.lastByteAt());
+                hasCrashed -> {
+                  if (hasCrashed) {
+                    endpointCrashed(endpoint.record(), endpoint.lastByteAt());
                   }
                 });
-    pending.add(content, verdict);
+    pendingProbes.add(content, result);
   }
 
-  /** Returns what a content has to wait for before it may be run. */
+  /** Returns the crash probe result that a content must wait for before it may run. */
   public Optional<Future<Boolean>> pendingCrashProbe(RequestFingerprint content) {
-    return pending.get(content);
+    return pendingProbes.get(content);
   }
 
-  /** Notes that this entry stopped waiting for an endpoint's answer to a content. */
+  /** Records that this entry stopped waiting for an endpoint's response to a content. */
   public void abandoned(EndpointRecord endpoint, RequestFingerprint content) {
-    unanswered(endpoint, content, UnansweredRuns.Kind.GIVEN_UP);
+    recordUnanswered(endpoint, content, UnansweredRuns.Kind.GIVEN_UP);
   }
 
-  private void unanswered(
+  private void recordUnanswered(
       EndpointRecord endpoint, RequestFingerprint content, UnansweredRuns.Kind kind) {
-    unanswered
+    unansweredRuns
         .record(endpoint.incarnationId(), content, kind, clock.instant())
         .ifPresent(this::suspect);
   }
 
   /**
-   * Notes that an endpoint has ended: it refuses connections, was replaced, or does not announce
-   * itself any more.
+   * Records that an endpoint has crashed: it refuses connections, was replaced, or no longer
+   * announces itself.
    *
-   * @param lastByteAt when this entry last had a byte of it
+   * @param lastByteAt when this entry last received a byte from it
    */
-  void ended(EndpointRecord endpoint, Instant lastByteAt) {
-    unanswered
+  void endpointCrashed(EndpointRecord endpoint, Instant lastByteAt) {
+    unansweredRuns
         .endpointCrashed(endpoint.incarnationId(), lastByteAt, clock.instant())
         .forEach(this::suspect);
   }
 
-  /** Notes that an endpoint that was taken for lost is back, as the same incarnation. */
-  void returned(EndpointRecord endpoint) {
-    unanswered.endpointRecovered(endpoint.incarnationId());
+  /** Records that an endpoint that was presumed lost has recovered, as the same incarnation. */
+  void endpointRecovered(EndpointRecord endpoint) {
+    unansweredRuns.endpointRecovered(endpoint.incarnationId());
     ledger.retractCrash(endpoint.incarnationId(), clock.instant());
   }
 
   private void suspect(Suspicion suspicion) {
     if (!completions.isRecentlyCompleted(suspicion.content(), clock.instant())) {
-      learn(suspicion);
+      recordAndReport(suspicion);
     }
   }
 
-  /** Takes what this entry has seen, and tells it. */
-  private void learn(Suspicion suspicion) {
+  /** Applies a local observation and schedules its report. */
+  private void recordAndReport(Suspicion suspicion) {
     ledger
         .merge(suspicion, clock.instant())
         .ifPresent(known -> QuarantineLog.logChange(known, "seen here"));
-    if (gathered.isEmpty()) {
-      vertx.setTimer(GATHER_MILLIS, id -> tell());
+    if (nextBatch.isEmpty()) {
+      vertx.setTimer(BATCH_DELAY_MILLIS, id -> sendBatch());
     }
-    gathered.add(suspicion);
+    nextBatch.add(suspicion);
   }
 
-  private void tell() {
+  private void sendBatch() {
     long callId = nextCallId++;
-    unconfirmed.put(callId, new Told(List.copyOf(gathered), clock.instant()));
-    gathered.clear();
+    unconfirmed.put(callId, new Batch(List.copyOf(nextBatch), clock.instant()));
+    nextBatch.clear();
     send(callId);
   }
 
   private void send(long callId) {
-    List<Suspicion> suspicions = unconfirmed.get(callId).at(clock.instant());
+    List<Suspicion> suspicions = unconfirmed.get(callId).agedTo(clock.instant());
     transport.sendAll(controls.get(), new FleetMessage.SuspicionUpdate(self, callId, suspicions));
   }
 
-  /** Tells again what no control instance has confirmed, and forgets what is too old. */
-  void repeat() {
+  /** Resends the reports that no control instance has confirmed, and removes expired evidence. */
+  void resendUnconfirmed() {
     Instant now = clock.instant();
     ledger.expire(now);
-    unanswered.expire(now);
+    unansweredRuns.expire(now);
     List.copyOf(unconfirmed.keySet()).forEach(this::send);
   }
 
   /**
-   * Takes what a control instance tells. What an endpoint has answered for this entry a moment ago
-   * does not end whatever runs it; those that suspect it cannot know.
+   * Applies suspicions from a control instance. A content that an endpoint has recently completed
+   * for this entry does not crash every endpoint that runs it, but the instances that suspect it
+   * have not received this completion; such a content is reported as cleared.
    */
-  void heard(FleetMessage.SuspicionUpdate update) {
+  void onSuspicionUpdate(FleetMessage.SuspicionUpdate update) {
     Instant now = clock.instant();
     for (Suspicion suspicion : update.suspicions()) {
       ledger
@@ -221,13 +228,13 @@
       RequestFingerprint content = suspicion.content();
       if (ledger.quarantined(content, now).isPresent()
           && completions.isRecentlyCompleted(content, now)) {
-        learn(Suspicion.cleared(content));
+        recordAndReport(Suspicion.cleared(content));
       }
     }
   }
 
-  /** Takes a control instance's confirmation. */
-  void confirmed(FleetMessage.SuspicionAck ack) {
+  /** Removes a report that a control instance has confirmed. */
+  void onSuspicionAck(FleetMessage.SuspicionAck ack) {
     unconfirmed.remove(ack.callId());
   }
 
@@ -236,15 +243,18 @@
     return ledger.quarantinedDigest();
   }
 
-  /** Gives a control instance back what it has lost by a restart. */
+  /**
+   * Sends the quarantined contents to a control instance whose digest differs, for example because
+   * it lost them in a restart.
+   */
   void compare(FleetMessage.ControlPulse pulse) {
     if (pulse.quarantineDigest() == digest()) {
       return;
     }
-    List<Suspicion> known =
+    List<Suspicion> quarantined =
         ledger.withCrashesOrCleared(Suspicion.QUARANTINE_THRESHOLD, clock.instant());
-    if (!known.isEmpty()) {
-      transport.send(pulse.from(), new FleetMessage.SuspicionUpdate(self, 0, known));
+    if (!quarantined.isEmpty()) {
+      transport.send(pulse.from(), new FleetMessage.SuspicionUpdate(self, 0, quarantined));
     }
   }
 }
--- /dev/null
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ResponseRelay.java
@@ -0,0 +1,151 @@
+package org.lacewingcroft.gateway;
+
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.http.HttpClientResponse;
+import io.vertx.core.http.HttpServerResponse;
+import java.util.List;
+import java.util.Optional;
+import org.lacewingcroft.metrics.GatewayMetrics;
+
+/**
+ * Relays one upstream response to the caller as it arrives, with back pressure from the caller.
+ *
+ * <p>The response to a request with a claimed idempotency key is also buffered and is recorded
+ * before the caller receives its end. It is read to the end without back pressure, even if the
+ * caller disconnects.
+ */
+final class ResponseRelay {
+  private static final System.Logger LOG = System.getLogger(ResponseRelay.class.getName());
+  private static final int SERVER_ERROR = 500;
+
+  /** Bound on the buffered body; a key whose response is longer gets an unknown outcome. */
+  private static final int MAX_BUFFERED_BODY_BYTES = 1024 * 1024;
+
+  private static final List<String> RELAYED_HEADERS =
+      List.of(
+          "Content-Type",
+          "Content-Length",
+          "Retry-After",
+          EntryGateway.REPLAY_HEADER,
+          EntryGateway.RUN_HEADER);
+
+  private final Exchange exchange;
+  private final Attempt attempt;
+  private final HttpClientResponse upstreamResponse;
+  private final KeyOwnership keys;
+  private final GatewayMetrics metrics;
+  private final CallerReply reply;
+  private final ContentQuarantine quarantine;
+  private final Optional<Buffer> bufferedBody;
+  private boolean firstByteRelayed;
+
+  /** Creates the relay of one response. */
+  interface Factory {
+    ResponseRelay create(Exchange exchange, Attempt attempt, HttpClientResponse upstreamResponse);
+  }
+
+  ResponseRelay(
+      Exchange exchange,
+      Attempt attempt,
+      HttpClientResponse upstreamResponse,
+      KeyOwnership keys,
+      GatewayMetrics metrics,
+      CallerReply reply,
+      ContentQuarantine quarantine) {
+    this.exchange = exchange;
+    this.attempt = attempt;
+    this.upstreamResponse = upstreamResponse;
+    this.keys = keys;
+    this.metrics = metrics;
+    this.reply = reply;
+    this.quarantine = quarantine;
+    this.bufferedBody = exchange.claimedKey().map(key -> Buffer.buffer());
+  }
+
+  void start() {
+    if (!exchange.responseCommitted()) {
+      copyResponseHead(exchange.response());
+    }
+    upstreamResponse.handler(this::relayChunk);
+    upstreamResponse.exceptionHandler(e -> onConnectionLost());
+    upstreamResponse.endHandler(v -> onComplete());
+  }
+
+  private void copyResponseHead(HttpServerResponse response) {
+    response.setStatusCode(upstreamResponse.statusCode());
+    for (String name : RELAYED_HEADERS) {
+      String value = upstreamResponse.getHeader(name);
+      if (value != null) {
+        response.putHeader(name, value);
+      }
+    }
+    String servingRegion = upstreamResponse.getHeader(EntryGateway.REGION_HEADER);
+    response.putHeader(
+        EntryGateway.REGION_HEADER, servingRegion != null ? servingRegion : attempt.targetRegion());
+    response.putHeader(EntryGateway.ENDPOINT_HEADER, attempt.target());
+    if (upstreamResponse.getHeader("Content-Length") == null) {
+      response.setChunked(true);
+    }
+    response.drainHandler(v -> upstreamResponse.resume());
+  }
+
+  private void relayChunk(Buffer chunk) {
+    if (!firstByteRelayed) {
+      firstByteRelayed = true;
+      metrics.firstByteSeconds.observe(exchange.elapsedSeconds());
+    }
+    bufferedBody
+        .filter(body -> body.length() <= MAX_BUFFERED_BODY_BYTES)
+        .ifPresent(body -> body.appendBuffer(chunk));
+    HttpServerResponse response = exchange.response();
+    if (exchange.callerDisconnected() || response.ended()) {
+      return;
+    }
+    response.write(chunk);
+    if (response.writeQueueFull() && bufferedBody.isEmpty()) {
+      upstreamResponse.pause();
+    }
+  }
+
+  private void onConnectionLost() {
+    if (attempt.end()) {
+      if (attempt.toEndpoint()) {
+        quarantine.onConnectionLost(attempt.target(), exchange.content());
+      }
+      reply.outcomeUnknown(exchange, "the answer broke off in the middle");
+    }
+  }
+
+  private void onComplete() {
+    if (!attempt.end()) {
+      return;
+    }
+    if (attempt.toEndpoint() && upstreamResponse.statusCode() < SERVER_ERROR) {
+      quarantine.recordCompletion(exchange.content());
+    }
+    exchange.claimedKey().ifPresent(this::recordResponse);
+    if (!exchange.callerDisconnected() && !exchange.response().ended()) {
+      metrics.requests.labelValues("served").inc();
+      exchange.response().end();
+    }
+    LOG.log(
+        System.Logger.Level.INFO,
+        "request.served",
+        "request",
+        exchange.requestId(),
+        "target",
+        attempt.target(),
+        "status",
+        upstreamResponse.statusCode());
+  }
+
+  private void recordResponse(String key) {
+    Buffer body = bufferedBody.orElseThrow();
+    if (body.length() > MAX_BUFFERED_BODY_BYTES) {
+      keys.markUnknown(key);
+      return;
+    }
+    String contentType = Optional.ofNullable(upstreamResponse.getHeader("Content-Type")).orElse("");
+    keys.complete(key, upstreamResponse.statusCode(), contentType, body.getBytes());
+  }
+}
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RouteChooser.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RouteChooser.java
@@ -15,14 +15,15 @@
 import org.lacewingcroft.routing.Router;
 
 /**
- * Decides where a request goes now: the {@link Router}'s decision on the newest snapshots, around
- * the endpoints and regions that failed this request, around endpoints that asked for a pause and,
- * if that leaves any, around endpoints that fail at present.
+ * Selects the target of a request: the {@link Router}'s decision on the latest snapshots, without
+ * the endpoints and regions that failed this request and without the endpoints that requested a
+ * pause. Endpoints in backoff after failures are excluded as well, unless the request would then
+ * have to be refused.
  */
 final class RouteChooser {
   private static final System.Logger LOG = System.getLogger(RouteChooser.class.getName());
   private static final int TOO_MANY_REQUESTS = 429;
-  private static final int UNAVAILABLE = 503;
+  private static final int SERVICE_UNAVAILABLE = 503;
 
   private final Router router;
   private final ConfigStore configs;
@@ -48,19 +49,22 @@
 
   RouteDecision choose(Exchange exchange) {
     Instant now = clock.instant();
-    Set<String> mustPassOver = new HashSet<>(exchange.passedOver());
-    mustPassOver.addAll(health.paused(now).keySet());
-    Set<String> passedOver = new HashSet<>(health.isInBackoff(now));
-    passedOver.addAll(mustPassOver);
-    RouteDecision decision = route(exchange, passedOver);
+    Set<String> excluded = new HashSet<>(exchange.excludedTargets());
+    excluded.addAll(health.paused(now).keySet());
+    Set<String> excludedOrInBackoff = new HashSet<>(health.isInBackoff(now));
+    excludedOrInBackoff.addAll(excluded);
+    RouteDecision decision = route(exchange, excludedOrInBackoff);
     boolean refused = decision instanceof RouteDecision.Refuse;
-    return refused && passedOver.size() > mustPassOver.size()
-        ? route(exchange, mustPassOver)
+    return refused && excludedOrInBackoff.size() > excluded.size()
+        ? route(exchange, excluded)
         : decision;
   }
 
-  /** Returns how long until the first endpoint takes requests again that asked for a pause. */
-  Optional<Duration> pauseLeft(Exchange exchange) {
+  /**
+   * Returns the time until the first paused endpoint that serves the request's model accepts
+   * requests again; empty if none is paused.
+   */
+  Optional<Duration> remainingPause(Exchange exchange) {
     Map<String, Duration> paused = health.paused(clock.instant());
     return endpoints.snapshot().serving(exchange.request().model()).stream()
         .map(Endpoint::id)
@@ -68,36 +72,39 @@
         .min(Comparator.naturalOrder());
   }
 
-  private RouteDecision route(Exchange exchange, Set<String> passedOver) {
+  private RouteDecision route(Exchange exchange, Set<String> excluded) {
     return router.route(
-        exchange.request().toRouteRequest(passedOver),
+        exchange.request().toRouteRequest(excluded),
         configs.current().config(),
         endpoints.snapshot(),
         regions,
         clock.instant());
   }
 
-  /** Keeps the exchange away from a target that failed it, and others from a failing endpoint. */
-  void passOver(Exchange exchange, Attempt attempt) {
+  /**
+   * Excludes the target of a failed attempt for this exchange. An endpoint also enters backoff, in
+   * which other requests avoid it.
+   */
+  void excludeTarget(Exchange exchange, Attempt attempt) {
     if (attempt.toEndpoint()) {
       health.recordFailure(attempt.target(), clock.instant());
-      exchange.passedOver().add(attempt.target());
+      exchange.excludedTargets().add(attempt.target());
     } else {
-      exchange.passedOver().add(attempt.targetRegion());
+      exchange.excludedTargets().add(attempt.targetRegion());
     }
   }
 
   /**
-   * Notes what an endpoint's answer says of its health.
+   * Updates an endpoint's health from its response. Responses of other entries are ignored.
    *
-   * @param retryAfter for how long it wants nothing further, if it says so
+   * @param retryAfter the pause that the endpoint requested, if any
    */
-  void noteAnswer(Attempt attempt, int status, Optional<Duration> retryAfter) {
+  void recordResponse(Attempt attempt, int status, Optional<Duration> retryAfter) {
     if (!attempt.toEndpoint()) {
       return;
     }
-    if (status == UNAVAILABLE || status == TOO_MANY_REQUESTS) {
-      retryAfter.ifPresent(pause -> askedForPause(attempt.target(), pause));
+    if (status == SERVICE_UNAVAILABLE || status == TOO_MANY_REQUESTS) {
+      retryAfter.ifPresent(pause -> recordPause(attempt.target(), pause));
     }
     if (status >= 500) {
       health.recordFailure(attempt.target(), clock.instant());
@@ -106,7 +113,7 @@
     }
   }
 
-  private void askedForPause(String endpoint, Duration pause) {
+  private void recordPause(String endpoint, Duration pause) {
     health.recordPause(endpoint, pause, clock.instant());
     LOG.log(
         System.Logger.Level.INFO,
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/logging/JsonLogger.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/logging/JsonLogger.java
@@ -9,11 +9,12 @@
 import java.util.ResourceBundle;
 
 /**
- * A {@link System.Logger} writing one JSON object per line.
+ * A {@link System.Logger} that writes one JSON object per line.
  *
- * <p>Convention: the message is the event name (such as {@code request.served}) and the parameters
- * are key-value pairs ({@code "request", id, "endpoint", e}); each pair becomes a field. Every line
- * carries {@code ts}, {@code hlc}, {@code node}, {@code level}, {@code logger} and {@code event}.
+ * <p>By convention, the message is the event name (such as {@code request.served}) and the
+ * parameters are key-value pairs ({@code "request", id, "endpoint", e}); each pair becomes a field.
+ * Every line contains {@code ts}, {@code hlc}, {@code node}, {@code level}, {@code logger} and
+ * {@code event}.
  */
 final class JsonLogger implements System.Logger {
   private static final JsonFactory JSON = new JsonFactory();
@@ -47,8 +48,8 @@
     if (!isLoggable(level)) {
       return;
     }
-    boolean pairs = params != null && params.length % 2 == 0 && !format.contains("{0");
-    if (pairs) {
+    boolean hasPairs = params != null && params.length % 2 == 0 && !format.contains("{0");
+    if (hasPairs) {
       write(level, format, params, null);
     } else {
       String text = params == null ? format : MessageFormat.format(format, params);
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/FakeEndpoint.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/FakeEndpoint.java
@@ -14,41 +14,47 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An endpoint that answers, or fails, in one way, and counts the requests that reached it. */
+/** An endpoint that responds or fails in a fixed way, and counts the requests that reach it. */
 final class FakeEndpoint implements AutoCloseable {
-  /** How it treats requests. */
+  /** The ways in which an endpoint handles requests. */
   enum Behaviour {
-    /** Answers 200 with the request's id in the body. */
-    ANSWERS,
-    /** Streams two events and ends. */
+    /** Responds with status 200 and the request's id in the body. */
+    RESPONDS,
+    /** Streams two events and completes the response. */
     STREAMS,
-    /** Reads the request and closes the connection. */
-    DIES_AT_ONCE,
+    /** Reads the request and closes the connection without a response. */
+    CLOSES_CONNECTION,
     /**
-     * Ends if the body speaks of poison, with all its connections, and is back at its port a little
-     * later; else answers.
+     * Crashes with all its connections if the body contains "poison", and listens on its port again
+     * after {@link #RESTART_DELAY_MILLIS}. Responds to other requests.
      */
-    DIES_OF_POISON,
-    /** Closes the connection if the body speaks of poison, until {@link #release}; else answers. */
-    DROPS_POISON,
-    /** Sends an event of a stream and closes the connection. */
-    DIES_IN_STREAM,
-    /** Announces 100 bytes, sends 10 and closes the connection. */
-    DIES_IN_BODY,
-    /** Answers 503. */
-    REFUSES,
-    /** Answers 503 and asks for {@link #PAUSE_SECONDS} without requests, until {@link #release}. */
-    ASKS_FOR_PAUSE,
-    /** Answers with the id of another request. */
-    ANSWERS_ANOTHER,
-    /** Never answers, until {@link #release}. */
+    CRASHES_ON_POISON,
+    /**
+     * Closes the connection if the body contains "poison", until {@link #release}. Responds to
+     * other requests.
+     */
+    CLOSES_CONNECTION_ON_POISON,
+    /** Sends one event of a stream and closes the connection. */
+    CLOSES_CONNECTION_IN_STREAM,
+    /** Sends a Content-Length of 100 and 10 bytes of body, and closes the connection. */
+    CLOSES_CONNECTION_IN_BODY,
+    /** Responds with status 503. */
+    REJECTS,
+    /**
+     * Responds with status 503 and requests a pause of {@link #PAUSE_SECONDS}, until {@link
+     * #release}.
+     */
+    REQUESTS_PAUSE,
+    /** Responds with the id of another request. */
+    RESPONDS_WITH_OTHER_ID,
+    /** Does not respond until {@link #release}. */
     HANGS
   }
 
-  /** The pause for which an endpoint asks. */
+  /** The pause that an endpoint requests by {@code Retry-After}. */
   static final int PAUSE_SECONDS = 3;
 
-  private static final long DOWN_MILLIS = 200;
+  private static final long RESTART_DELAY_MILLIS = 200;
 
   private final Vertx vertx;
   private final Behaviour behaviour;
@@ -57,7 +63,7 @@
   private final AtomicInteger runs = new AtomicInteger();
   private final AtomicInteger poisonRuns = new AtomicInteger();
   private final List<Long> arrivalNanos = new CopyOnWriteArrayList<>();
-  private final Set<String> keysRun = ConcurrentHashMap.newKeySet();
+  private final Set<String> receivedKeys = ConcurrentHashMap.newKeySet();
   private final CompletableFuture<Void> released = new CompletableFuture<>();
 
   FakeEndpoint(Vertx vertx, Behaviour behaviour) throws Exception {
@@ -67,20 +73,23 @@
         listen(0).toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS).actualPort();
   }
 
-  private Future<HttpServer> listen(int wantedPort) {
+  private Future<HttpServer> listen(int requestedPort) {
     server =
         vertx
             .createHttpServer(new HttpServerOptions().setReuseAddress(true))
             .requestHandler(
                 request -> request.body().onSuccess(body -> handle(request, body.toString())));
-    return server.listen(wantedPort, "127.0.0.1");
+    return server.listen(requestedPort, "127.0.0.1");
   }
 
-  /** Ends with all its connections; the next incarnation listens at the same port. */
-  private void die(HttpServerRequest request) {
+  /**
+   * Closes the server with all its connections. The next incarnation listens on the same port after
+   * {@link #RESTART_DELAY_MILLIS}.
+   */
+  private void crash(HttpServerRequest request) {
     server.close();
     request.connection().close();
-    vertx.setTimer(DOWN_MILLIS, id -> listen(port));
+    vertx.setTimer(RESTART_DELAY_MILLIS, id -> listen(port));
   }
 
   int port() {
@@ -91,19 +100,19 @@
     return runs.get();
   }
 
-  /** Returns when each request reached it, by {@link System#nanoTime}. */
+  /** Returns the arrival time of each request, by {@link System#nanoTime}. */
   List<Long> arrivalNanos() {
     return arrivalNanos;
   }
 
-  /** Returns how many poisonous requests reached it. */
+  /** Returns the number of requests received whose body contains "poison". */
   int poisonRuns() {
     return poisonRuns.get();
   }
 
-  /** Returns the idempotency keys of the requests that reached it. */
-  Set<String> keysRun() {
-    return keysRun;
+  /** Returns the idempotency keys of the requests received. */
+  Set<String> receivedKeys() {
+    return receivedKeys;
   }
 
   void release() {
@@ -117,35 +126,35 @@
     if (poison) {
       poisonRuns.incrementAndGet();
     }
-    keysRun.add(String.valueOf(request.getHeader("Idempotency-Key")));
+    receivedKeys.add(String.valueOf(request.getHeader("Idempotency-Key")));
     HttpServerResponse response = request.response();
     String id = request.getHeader("X-Request-Id");
     response.exceptionHandler(e -> {});
     switch (behaviour) {
-      case DIES_AT_ONCE -> request.connection().close();
-      case DIES_OF_POISON -> {
+      case CLOSES_CONNECTION -> request.connection().close();
+      case CRASHES_ON_POISON -> {
         if (poison) {
-          die(request);
+          crash(request);
         } else {
           response.end("answer to " + id);
         }
       }
-      case DROPS_POISON -> {
+      case CLOSES_CONNECTION_ON_POISON -> {
         if (poison && !released.isDone()) {
           request.connection().close();
         } else {
           response.end("answer to " + id);
         }
       }
-      case DIES_IN_STREAM ->
+      case CLOSES_CONNECTION_IN_STREAM ->
           stream(response).write("data: one\n\n").onComplete(sent -> request.connection().close());
-      case DIES_IN_BODY ->
+      case CLOSES_CONNECTION_IN_BODY ->
           response
               .putHeader("Content-Length", "100")
               .write("0123456789")
               .onComplete(sent -> request.connection().close());
       case STREAMS -> stream(response).end("data: one\n\ndata: [DONE]\n\n");
-      case ASKS_FOR_PAUSE -> {
+      case REQUESTS_PAUSE -> {
         if (released.isDone()) {
           response.end("answer to " + id);
         } else {
@@ -155,8 +164,8 @@
               .end("full");
         }
       }
-      case REFUSES -> response.setStatusCode(503).end("full");
-      case ANSWERS_ANOTHER -> response.putHeader("X-Request-Id", "another").end("stolen");
+      case REJECTS -> response.setStatusCode(503).end("full");
+      case RESPONDS_WITH_OTHER_ID -> response.putHeader("X-Request-Id", "another").end("stolen");
       case HANGS -> released.thenRun(() -> response.end("late " + id));
       default -> response.putHeader("X-Request-Id", id).end("answer to " + id);
     }
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/RequestFaultTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/RequestFaultTest.java
@@ -33,22 +33,22 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * What callers hear when endpoints fail: every request is answered in full or refused honestly, and
- * what may run once only is not sent again. Each test has a model of its own, with endpoints a and
- * b, of which a is tried first.
+ * Checks what callers receive when endpoints fail: every request gets a complete response or an
+ * error that correctly says whether it may have run, and a request that may run only once is not
+ * sent again. Each test uses a separate model with endpoints a and b, of which a is tried first.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class RequestFaultTest {
   private static final String REGION = "uusimaa";
-  private static final int SHORT_DEADLINES = 600;
+  private static final int SHORT_DEADLINE_REQUESTS = 600;
   private final Vertx vertx = Vertx.vertx();
   private final List<FakeEndpoint> endpoints = new ArrayList<>();
   private TestCluster cluster;
   private Daemon entry;
-  private int models;
+  private int modelCount;
 
-  /** What the endpoints do with a request, and what its caller must hear. */
-  private enum Sent {
+  /** How the caller marks its request. */
+  private enum RequestType {
     IDEMPOTENT,
     KEYED
   }
@@ -75,79 +75,108 @@
   }
 
   static Stream<Arguments> faults() {
-    FakeEndpoint.Behaviour answers = FakeEndpoint.Behaviour.ANSWERS;
-    FakeEndpoint.Behaviour dies = FakeEndpoint.Behaviour.DIES_AT_ONCE;
-    FakeEndpoint.Behaviour refuses = FakeEndpoint.Behaviour.REFUSES;
-    FakeEndpoint.Behaviour steals = FakeEndpoint.Behaviour.ANSWERS_ANOTHER;
+    FakeEndpoint.Behaviour responds = FakeEndpoint.Behaviour.RESPONDS;
+    FakeEndpoint.Behaviour closes = FakeEndpoint.Behaviour.CLOSES_CONNECTION;
+    FakeEndpoint.Behaviour rejects = FakeEndpoint.Behaviour.REJECTS;
+    FakeEndpoint.Behaviour otherId = FakeEndpoint.Behaviour.RESPONDS_WITH_OTHER_ID;
     FakeEndpoint.Behaviour hangs = FakeEndpoint.Behaviour.HANGS;
     return Stream.of(
-        row("dies, the other answers", Sent.IDEMPOTENT, dies, answers, 200, "", 2),
-        row("refuses, the other answers", Sent.IDEMPOTENT, refuses, answers, 200, "", 2),
-        row("answers another request", Sent.IDEMPOTENT, steals, answers, 200, "", 2),
-        row("hangs, the hedge answers", Sent.IDEMPOTENT, hangs, answers, 200, "", 2),
-        row("both die", Sent.IDEMPOTENT, dies, dies, 502, "outcome_unknown", 2),
-        row("both refuse", Sent.IDEMPOTENT, refuses, refuses, 503, "", 2),
-        row("dies, may run once", Sent.KEYED, dies, answers, 502, "outcome_unknown", 1),
-        row("refuses, may run once", Sent.KEYED, refuses, answers, 503, "", 1),
-        row("answers another, once", Sent.KEYED, steals, answers, 502, "outcome_unknown", 1));
+        row(
+            "connection closed, the other responds",
+            RequestType.IDEMPOTENT,
+            closes,
+            responds,
+            200,
+            "",
+            2),
+        row("rejects, the other responds", RequestType.IDEMPOTENT, rejects, responds, 200, "", 2),
+        row("response of another request", RequestType.IDEMPOTENT, otherId, responds, 200, "", 2),
+        row("hangs, the hedge responds", RequestType.IDEMPOTENT, hangs, responds, 200, "", 2),
+        row(
+            "both connections closed",
+            RequestType.IDEMPOTENT,
+            closes,
+            closes,
+            502,
+            "outcome_unknown",
+            2),
+        row("both reject", RequestType.IDEMPOTENT, rejects, rejects, 503, "", 2),
+        row(
+            "connection closed, may run once",
+            RequestType.KEYED,
+            closes,
+            responds,
+            502,
+            "outcome_unknown",
+            1),
+        row("rejects, may run once", RequestType.KEYED, rejects, responds, 503, "", 1),
+        row(
+            "response of another, may run once",
+            RequestType.KEYED,
+            otherId,
+            responds,
+            502,
+            "outcome_unknown",
+            1));
   }
 
   private static Arguments row(
       String name,
-      Sent sent,
+      RequestType type,
       FakeEndpoint.Behaviour a,
       FakeEndpoint.Behaviour b,
       int status,
       String code,
       int runs) {
-    return Arguments.of(name, sent, a, b, status, code, runs);
+    return Arguments.of(name, type, a, b, status, code, runs);
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("faults")
-  void answersInFullOrRefusesHonestly(
+  void respondsCompletelyOrReportsOutcome(
       String name,
-      Sent sent,
+      RequestType type,
       FakeEndpoint.Behaviour a,
       FakeEndpoint.Behaviour b,
       int status,
       String code,
       int runs)
       throws Exception {
-    String model = announced(a, b);
-    Optional<String> key = sent == Sent.KEYED ? Optional.of("key-" + model) : Optional.empty();
+    String model = announceModel(a, b);
+    Optional<String> key =
+        type == RequestType.KEYED ? Optional.of("key-" + model) : Optional.empty();
     TestCluster.Reply reply = chat(model, key, Map.of("X-Request-Id", "id-" + model));
     assertThat(reply.response().body(), reply.status(), is(status));
     assertThat(reply.code(), is(code));
     if (status == 200) {
       assertThat(reply.response().body(), is("answer to id-" + model));
     }
-    assertThat(runsInAll(), is(runs));
+    assertThat(totalRuns(), is(runs));
     if (key.isPresent()) {
       assertThat(chat(model, key, Map.of()).status(), is(status));
-      assertThat("runs after a resend", runsInAll(), is(runs));
+      assertThat("runs after a resend", totalRuns(), is(runs));
     }
   }
 
   @Test
-  void saysNotRunOnlyWhenNoEndpointGotTheRequest() throws Exception {
-    FakeEndpoint gone = endpoint(FakeEndpoint.Behaviour.ANSWERS);
-    String model = "model-" + models++;
-    cluster.announce(entry, model + "-a", REGION, model, gone.port(), false);
-    gone.close();
+  void reportsNotRunOnlyIfNoEndpointReceivedTheRequest() throws Exception {
+    FakeEndpoint unreachable = endpoint(FakeEndpoint.Behaviour.RESPONDS);
+    String model = "model-" + modelCount++;
+    cluster.announce(entry, model + "-a", REGION, model, unreachable.port(), false);
+    unreachable.close();
     TestCluster.await(() -> chat(model, Optional.of("k"), Map.of()).status() == 503);
     TestCluster.Reply reply = chat(model, Optional.of("k"), Map.of());
     assertThat(reply.code(), is("not_run"));
     assertThat(reply.header("X-Lacewingcroft-Run"), is(Optional.of("no")));
     assertThat(reply.header("Retry-After"), is(Optional.of("1")));
-    FakeEndpoint back = endpoint(FakeEndpoint.Behaviour.ANSWERS);
-    cluster.announce(entry, model + "-b", REGION, model, back.port(), false);
-    assertThat("the key was given back", chat(model, Optional.of("k"), Map.of()).status(), is(200));
+    FakeEndpoint replacement = endpoint(FakeEndpoint.Behaviour.RESPONDS);
+    cluster.announce(entry, model + "-b", REGION, model, replacement.port(), false);
+    assertThat("the key was released", chat(model, Optional.of("k"), Map.of()).status(), is(200));
   }
 
   @Test
   void endsBrokenStreamWithAnErrorEvent() throws Exception {
-    String model = announced(FakeEndpoint.Behaviour.DIES_IN_STREAM);
+    String model = announceModel(FakeEndpoint.Behaviour.CLOSES_CONNECTION_IN_STREAM);
     String body = chat(model, Optional.empty(), Map.of()).response().body();
     assertThat(body, containsString("data: one\n\nevent: error\n"));
     assertThat(body, containsString("outcome_unknown"));
@@ -155,14 +184,14 @@
   }
 
   @Test
-  void cutsTheConnectionOfBrokenBody() throws Exception {
-    String model = announced(FakeEndpoint.Behaviour.DIES_IN_BODY);
+  void closesConnectionOfIncompleteBody() throws Exception {
+    String model = announceModel(FakeEndpoint.Behaviour.CLOSES_CONNECTION_IN_BODY);
     assertThrows(IOException.class, () -> chat(model, Optional.empty(), Map.of()));
   }
 
   @Test
-  void givesUpAtTheDeadlineAndSaysWhenToComeBack() throws Exception {
-    String model = announced(FakeEndpoint.Behaviour.HANGS);
+  void failsAtTheDeadlineWithRetryAfter() throws Exception {
+    String model = announceModel(FakeEndpoint.Behaviour.HANGS);
     long startNanos = System.nanoTime();
     TestCluster.Reply reply = chat(model, Optional.of("late"), Map.of("X-Deadline-Millis", "400"));
     final long millis = (System.nanoTime() - startNanos) / 1_000_000;
@@ -170,15 +199,15 @@
     assertThat(reply.header("Retry-After"), is(Optional.of("1")));
     assertThat(millis, is(lessThan(15_000L)));
     assertThat(chat(model, Optional.of("late"), Map.of()).code(), is("outcome_unknown"));
-    assertThat(runsInAll(), is(1));
+    assertThat(totalRuns(), is(1));
   }
 
-  /** Deadlines so short that many are over between the claim of the key and the send. */
+  /** Uses deadlines so short that many expire between the claim of the key and the send. */
   @Test
-  void neverRunsWhatItRefusedAtTheDeadline() throws Exception {
-    String model = announced(FakeEndpoint.Behaviour.ANSWERS);
+  void neverRunsRequestsRefusedAtTheDeadline() throws Exception {
+    String model = announceModel(FakeEndpoint.Behaviour.RESPONDS);
     Set<String> refused = new HashSet<>();
-    for (int i = 0; i < SHORT_DEADLINES; i++) {
+    for (int i = 0; i < SHORT_DEADLINE_REQUESTS; i++) {
       String key = "short-" + i;
       String deadlineMillis = Integer.toString(1 + i % 2);
       TestCluster.Reply reply =
@@ -188,25 +217,25 @@
       }
     }
     assertThat(chat(model, Optional.of("last"), Map.of()).status(), is(200));
-    refused.retainAll(endpoints.get(0).keysRun());
-    assertThat("refused as not run, and run", refused, is(empty()));
+    refused.retainAll(endpoints.get(0).receivedKeys());
+    assertThat("refused as not run, but run", refused, is(empty()));
   }
 
   @Test
-  void refusesAtOnceWhatExceedsTheRequestsInFlight() throws Exception {
-    String model = announced(FakeEndpoint.Behaviour.HANGS);
-    List<CompletableFuture<Integer>> waiting = new ArrayList<>();
+  void refusesRequestsAboveMaxInFlight() throws Exception {
+    String model = announceModel(FakeEndpoint.Behaviour.HANGS);
+    List<CompletableFuture<Integer>> responses = new ArrayList<>();
     for (int i = 0; i < TestCluster.MAX_IN_FLIGHT; i++) {
-      waiting.add(CompletableFuture.supplyAsync(() -> statusOf(model)));
+      responses.add(CompletableFuture.supplyAsync(() -> statusOf(model)));
     }
-    TestCluster.await(() -> runsInAll() == TestCluster.MAX_IN_FLIGHT);
+    TestCluster.await(() -> totalRuns() == TestCluster.MAX_IN_FLIGHT);
     TestCluster.Reply refused = chat(model, Optional.empty(), Map.of());
     assertThat(refused.code(), is("not_run"));
     endpoints.forEach(FakeEndpoint::release);
-    for (CompletableFuture<Integer> status : waiting) {
+    for (CompletableFuture<Integer> status : responses) {
       assertThat(status.get(), is(200));
     }
-    assertThat(runsInAll(), is(TestCluster.MAX_IN_FLIGHT));
+    assertThat(totalRuns(), is(TestCluster.MAX_IN_FLIGHT));
   }
 
   private int statusOf(String model) {
@@ -218,8 +247,8 @@
   }
 
   @Test
-  void limitsAnOrganisationAndSaysWhenToComeBack() throws Exception {
-    String model = announced(FakeEndpoint.Behaviour.ANSWERS);
+  void limitsAnOrganisationWithRetryAfter() throws Exception {
+    String model = announceModel(FakeEndpoint.Behaviour.RESPONDS);
     Map<String, String> limited = Map.of("X-Organisation", "limited");
     int served = 0;
     TestCluster.Reply refused = chat(model, Optional.empty(), limited);
@@ -235,29 +264,32 @@
   }
 
   @Test
-  void refusesHopMarksWithoutAnEntrysTag() throws Exception {
-    String model = announced(FakeEndpoint.Behaviour.ANSWERS);
-    for (String mark : List.of("X-Lacewingcroft-Forwarded", "X-Lacewingcroft-Owner-Hop")) {
-      TestCluster.Reply reply = chat(model, Optional.of("k"), Map.of(mark, "pirkanmaa"));
+  void refusesHopHeadersWithoutAuthenticationTag() throws Exception {
+    String model = announceModel(FakeEndpoint.Behaviour.RESPONDS);
+    for (String header : List.of("X-Lacewingcroft-Forwarded", "X-Lacewingcroft-Owner-Hop")) {
+      TestCluster.Reply reply = chat(model, Optional.of("k"), Map.of(header, "pirkanmaa"));
       assertThat(reply.code(), is("unauthenticated"));
-      assertThat(runsInAll(), is(0));
+      assertThat(totalRuns(), is(0));
     }
   }
 
   @Test
-  void sendsNothingNewToAnEndpointThatIsLeaving() throws Exception {
-    String model = announced(FakeEndpoint.Behaviour.ANSWERS);
+  void sendsNoNewRequestsToDrainingEndpoint() throws Exception {
+    String model = announceModel(FakeEndpoint.Behaviour.RESPONDS);
     assertThat(chat(model, Optional.empty(), Map.of()).status(), is(200));
     cluster.announce(entry, model + "-a", REGION, model, endpoints.get(0).port(), true);
     assertThat(chat(model, Optional.empty(), Map.of()).code(), is("not_run"));
     cluster.announce(entry, model + "-a", REGION, model, endpoints.get(0).port(), false);
-    assertThat("late announcement", chat(model, Optional.empty(), Map.of()).status(), is(503));
-    assertThat(runsInAll(), is(1));
+    assertThat(
+        "announcement with an older sequence",
+        chat(model, Optional.empty(), Map.of()).status(),
+        is(503));
+    assertThat(totalRuns(), is(1));
   }
 
-  /** Announces endpoints a, b, ... for a new model and returns the model. */
-  private String announced(FakeEndpoint.Behaviour... behaviours) throws Exception {
-    String model = "model-" + models++;
+  /** Announces endpoints a, b and so on for a new model, and returns the model. */
+  private String announceModel(FakeEndpoint.Behaviour... behaviours) throws Exception {
+    String model = "model-" + modelCount++;
     for (int i = 0; i < behaviours.length; i++) {
       FakeEndpoint endpoint = endpoint(behaviours[i]);
       String id = model + "-" + (char) ('a' + i);
@@ -272,7 +304,7 @@
     return endpoint;
   }
 
-  private int runsInAll() {
+  private int totalRuns() {
     return endpoints.stream().mapToInt(FakeEndpoint::runs).sum();
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Gossiper.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Gossiper.java
@@ -14,37 +14,39 @@
 import org.lacewingcroft.peer.PeerMessage;
 
 /**
- * Decides, interval by interval, to whom one daemon gossips and what it says.
+ * Selects, for each gossip interval, the daemons to which one daemon sends gossip and the content
+ * of the messages.
  *
- * <p>In its region a daemon sends to {@link #FANOUT} members; a sign of life reaches all in about
- * log(n) intervals, so the cost of a daemon does not grow with the number it sends to. Across
- * regions only the region's {@link #DELEGATES} speak: each tells {@link #REGION_FANOUT} other
- * regions an interval about its own, and members pass on what they know of the rest. Members that
- * started lately are introduced in full for some intervals; of the others only the freshest signs
- * of life are sent. Seeds are asked until others are known, and now and then after that, so that
- * parts that lost each other meet again.
+ * <p>Within its region a daemon sends to {@link #FANOUT} members; a heartbeat reaches all of them
+ * in about log(n) intervals, so the cost per daemon does not grow with the size of the region.
+ * Between regions only the {@link #DELEGATES} of a region send: in each interval, each sends a
+ * digest of its own region to {@link #REGION_FANOUT} other regions, and members relay the digests
+ * of the others that they have received. The {@link MemberInfo} of recently started members is sent
+ * for some intervals; of all others, the latest heartbeats of a random sample are sent. Seeds are
+ * contacted while no member of the region is known and at regular intervals after that, so that
+ * partitions of the membership that lost contact merge again.
  */
 public final class Gossiper {
-  /** Members of the own region gossiped to in an interval. */
+  /** Maximum number of members of the own region that receive gossip in an interval. */
   public static final int FANOUT = 2;
 
-  /** Other regions a delegate gossips to in an interval. */
+  /** Maximum number of members of other regions to which a delegate sends gossip in an interval. */
   public static final int REGION_FANOUT = 2;
 
-  /** How many members of a region speak for it to others. */
+  /** Number of entries of a region that send its digests to other regions. */
   public static final int DELEGATES = 2;
 
-  private static final int INTRODUCTION_ROUNDS = 8;
-  private static final int SEED_EVERY = 8;
-  private static final int MEMBERS_ANSWERED = 4;
-  private static final int SIGNS_PER_MESSAGE = 20;
-  private static final int RANDOM_INTRODUCTION_EVERY = 4;
+  private static final int NEW_MEMBER_ROUNDS = 8;
+  private static final int ROUNDS_PER_SEED_CONTACT = 8;
+  private static final int MAX_MEMBERS_PER_RESPONSE = 4;
+  private static final int HEARTBEAT_SAMPLE_SIZE = 20;
+  private static final int ROUNDS_PER_RANDOM_MEMBER_INFO = 4;
 
   private final MemberInfo self;
   private final List<String> seeds;
   private final Random random;
-  private long counter;
-  private long stamp;
+  private long heartbeatCounter;
+  private long digestSequence;
 
   /**
    * One message to send.
@@ -54,56 +56,64 @@
    */
   public record Outgoing(String address, PeerMessage.Gossip gossip) {}
 
-  /** What a daemon says of itself in one interval. */
+  /**
+   * The status that a daemon reports about itself in one interval.
+   *
+   * @param draining whether it is shutting down and accepts no new requests
+   * @param configVersion its active configuration version
+   * @param freeSlotsByModel its region's free capacity by model, in request slots
+   */
   public record SelfReport(
-      boolean leaving, long configVersion, Map<String, Integer> freeSlotsByModel) {}
+      boolean draining, long configVersion, Map<String, Integer> freeSlotsByModel) {}
 
   /**
    * Creates the gossiper of one daemon.
    *
-   * @param self how the daemon describes itself
-   * @param seeds peer addresses asked while nobody is known
-   * @param random picks receivers
+   * @param self the daemon's description of itself
+   * @param seeds peer addresses through which other members are discovered
+   * @param random selects receivers and samples of members
    */
   public Gossiper(MemberInfo self, List<String> seeds, Random random) {
     this.self = self;
     this.seeds = List.copyOf(seeds);
     this.random = random;
-    this.stamp = self.incarnation();
+    this.digestSequence = self.incarnation();
   }
 
-  /** Returns this interval's messages. */
-  public List<Outgoing> round(SelfReport report, MemberTable table, Instant now) {
-    counter++;
+  /** Returns the messages to send in this interval. */
+  public List<Outgoing> nextMessages(SelfReport report, MemberTable table, Instant now) {
+    heartbeatCounter++;
     Set<String> receivers = new LinkedHashSet<>();
-    List<Member> followed = table.followed();
-    regionReceivers(followed).forEach(m -> receivers.add(m.info().peerAddress()));
-    final List<RegionDigest> known = new ArrayList<>(table.digests());
-    Optional<RegionDigest> own = Optional.empty();
+    List<Member> trackedMembers = table.trackedMembers();
+    regionReceivers(trackedMembers).forEach(m -> receivers.add(m.info().peerAddress()));
+    final List<RegionDigest> otherDigests = new ArrayList<>(table.digests());
+    Optional<RegionDigest> ownDigest = Optional.empty();
     if (isDelegate(table, now)) {
-      own = Optional.of(ownDigest(report, table, now));
+      ownDigest = Optional.of(ownDigest(report, table, now));
       otherRegionReceivers(table, now).forEach(m -> receivers.add(m.info().peerAddress()));
     }
-    Set<String> asked = new LinkedHashSet<>();
-    boolean alone = followed.stream().noneMatch(this::isInRegion);
-    if (!seeds.isEmpty() && (alone || counter % SEED_EVERY == 0)) {
-      asked.add(seeds.get(random.nextInt(seeds.size())));
+    Set<String> replyAddresses = new LinkedHashSet<>();
+    boolean isolated = trackedMembers.stream().noneMatch(this::isInRegion);
+    if (!seeds.isEmpty() && (isolated || heartbeatCounter % ROUNDS_PER_SEED_CONTACT == 0)) {
+      replyAddresses.add(seeds.get(random.nextInt(seeds.size())));
     }
-    if (table.incomplete()) {
-      asked.addAll(receivers);
+    if (table.hasUnknownMembers()) {
+      replyAddresses.addAll(receivers);
     }
-    receivers.addAll(asked);
+    receivers.addAll(replyAddresses);
     receivers.remove(self.peerAddress());
     List<Outgoing> outgoing = new ArrayList<>();
     for (String address : receivers) {
-      Optional<RegionDigest> passedOn = pick(known, 1).stream().findFirst();
+      Optional<RegionDigest> relayedDigest = pick(otherDigests, 1).stream().findFirst();
       boolean inRegion =
-          passedOn.isPresent()
-              && followed.stream()
+          relayedDigest.isPresent()
+              && trackedMembers.stream()
                   .filter(this::isInRegion)
                   .anyMatch(m -> m.info().peerAddress().equals(address));
-      Optional<RegionDigest> told = inRegion ? passedOn : own.or(() -> passedOn);
-      outgoing.add(new Outgoing(address, message(report, followed, told, asked.contains(address))));
+      Optional<RegionDigest> digest = inRegion ? relayedDigest : ownDigest.or(() -> relayedDigest);
+      outgoing.add(
+          new Outgoing(
+              address, message(report, trackedMembers, digest, replyAddresses.contains(address))));
     }
     return outgoing;
   }
@@ -113,41 +123,41 @@
   }
 
   /**
-   * Answers a daemon that looks for members of its region with those known here.
+   * Responds to a daemon that requests members of its region with a sample of those known here.
    *
-   * @return the answer, or empty if there is nothing to tell
+   * @return the response, or empty if the message requests no reply or no members are known
    */
-  public Optional<Outgoing> answer(
-      PeerMessage.Gossip asking, long configVersion, MemberTable table) {
-    MemberInfo asker = asking.sender();
-    List<Member> wanted =
+  public Optional<Outgoing> respond(
+      PeerMessage.Gossip request, long configVersion, MemberTable table) {
+    MemberInfo requester = request.sender();
+    List<Member> members =
         pick(
             table.all().stream()
-                .filter(m -> m.info().region().equals(asker.region()))
-                .filter(m -> !m.info().nodeId().equals(asker.nodeId()))
+                .filter(m -> m.info().region().equals(requester.region()))
+                .filter(m -> !m.info().nodeId().equals(requester.nodeId()))
                 .toList(),
-            MEMBERS_ANSWERED);
-    if (!asking.asking() || wanted.isEmpty()) {
+            MAX_MEMBERS_PER_RESPONSE);
+    if (!request.asking() || members.isEmpty()) {
       return Optional.empty();
     }
-    List<Liveness> signs = new ArrayList<>();
-    signs.add(new Liveness(self.nodeId(), self.incarnation(), counter, false));
-    wanted.forEach(m -> signs.add(m.liveness()));
-    List<MemberInfo> infos = wanted.stream().map(Member::info).toList();
+    List<Heartbeat> heartbeats = new ArrayList<>();
+    heartbeats.add(new Heartbeat(self.nodeId(), self.incarnation(), heartbeatCounter, false));
+    members.forEach(m -> heartbeats.add(m.heartbeat()));
+    List<MemberInfo> infos = members.stream().map(Member::info).toList();
     return Optional.of(
         new Outgoing(
-            asker.peerAddress(),
-            new PeerMessage.Gossip(self, configVersion, signs, infos, List.of(), false)));
+            requester.peerAddress(),
+            new PeerMessage.Gossip(self, configVersion, heartbeats, infos, List.of(), false)));
   }
 
   /**
-   * Returns the receivers in the region: the next member in the order of node ids, so that
-   * everybody hears somebody in every interval, and others at random. For a control daemon the
-   * other members of its group count as its region's.
+   * Returns the receivers in the region: the next member in the order of node ids, so that every
+   * member receives gossip in every interval, and others at random. For a control daemon, the other
+   * control daemons of all regions are candidates too.
    */
-  private List<Member> regionReceivers(List<Member> followed) {
+  private List<Member> regionReceivers(List<Member> trackedMembers) {
     List<Member> ring =
-        followed.stream()
+        trackedMembers.stream()
             .filter(this::isInRegion)
             .sorted(Comparator.comparing(m -> m.info().nodeId()))
             .toList();
@@ -158,7 +168,7 @@
         .or(() -> ring.stream().findFirst())
         .ifPresent(receivers::add);
     List<Member> rest =
-        followed.stream()
+        trackedMembers.stream()
             .filter(m -> isInRegion(m) || self.role().equals(m.info().role()))
             .filter(m -> !receivers.contains(m))
             .toList();
@@ -182,53 +192,67 @@
   }
 
   private boolean isDelegate(MemberTable table, Instant now) {
-    long before =
+    long precedingEntries =
         table.alive(self.role(), self.region(), now).stream()
             .filter(m -> m.info().nodeId().compareTo(self.nodeId()) < 0)
             .count();
-    return self.role().equals(MemberInfo.ENTRY) && before < DELEGATES;
+    return self.role().equals(MemberInfo.ENTRY) && precedingEntries < DELEGATES;
   }
 
   private RegionDigest ownDigest(SelfReport report, MemberTable table, Instant now) {
     List<MemberInfo> contacts = new ArrayList<>();
-    if (!report.leaving()) {
+    if (!report.draining()) {
       contacts.add(self);
     }
     pick(table.alive(MemberInfo.ENTRY, self.region(), now), RegionDigest.MAX_CONTACTS).stream()
         .map(Member::info)
         .filter(m -> contacts.size() < RegionDigest.MAX_CONTACTS)
         .forEach(contacts::add);
-    stamp++;
+    digestSequence++;
     return new RegionDigest(
-        self.region(), self.nodeId(), stamp, contacts, report.freeSlotsByModel());
+        self.region(), self.nodeId(), digestSequence, contacts, report.freeSlotsByModel());
   }
 
   private PeerMessage.Gossip message(
-      SelfReport report, List<Member> followed, Optional<RegionDigest> digest, boolean asking) {
-    List<MemberInfo> introductions = introductions(followed);
-    List<Liveness> signs = new ArrayList<>();
-    signs.add(new Liveness(self.nodeId(), self.incarnation(), counter, report.leaving()));
-    pick(followed, SIGNS_PER_MESSAGE).forEach(m -> signs.add(m.liveness()));
-    followed.stream()
-        .filter(m -> introductions.contains(m.info()) && !signs.contains(m.liveness()))
-        .forEach(m -> signs.add(m.liveness()));
+      SelfReport report,
+      List<Member> trackedMembers,
+      Optional<RegionDigest> digest,
+      boolean replyRequested) {
+    List<MemberInfo> memberInfos = memberInfos(trackedMembers);
+    List<Heartbeat> heartbeats = new ArrayList<>();
+    heartbeats.add(
+        new Heartbeat(self.nodeId(), self.incarnation(), heartbeatCounter, report.draining()));
+    pick(trackedMembers, HEARTBEAT_SAMPLE_SIZE).forEach(m -> heartbeats.add(m.heartbeat()));
+    trackedMembers.stream()
+        .filter(m -> memberInfos.contains(m.info()) && !heartbeats.contains(m.heartbeat()))
+        .forEach(m -> heartbeats.add(m.heartbeat()));
     return new PeerMessage.Gossip(
-        self, report.configVersion(), signs, introductions, digest.stream().toList(), asking);
+        self,
+        report.configVersion(),
+        heartbeats,
+        memberInfos,
+        digest.stream().toList(),
+        replyRequested);
   }
 
-  /** Returns the members that started last, while news, and one other at random. */
-  private List<MemberInfo> introductions(List<Member> followed) {
+  /**
+   * Returns the descriptions of the recently started members, or of all members if this daemon has
+   * recently started, and in some intervals of one other member at random.
+   */
+  private List<MemberInfo> memberInfos(List<Member> trackedMembers) {
     List<MemberInfo> infos = new ArrayList<>();
-    followed.stream()
+    trackedMembers.stream()
         .filter(
-            m -> m.liveness().counter() <= INTRODUCTION_ROUNDS || counter <= INTRODUCTION_ROUNDS)
-        .sorted(Comparator.comparingLong((Member m) -> m.liveness().counter()))
+            m ->
+                m.heartbeat().counter() <= NEW_MEMBER_ROUNDS
+                    || heartbeatCounter <= NEW_MEMBER_ROUNDS)
+        .sorted(Comparator.comparingLong((Member m) -> m.heartbeat().counter()))
         .map(Member::info)
         .forEach(infos::add);
-    followed.stream()
-        .skip(followed.isEmpty() ? 0 : random.nextInt(followed.size()))
+    trackedMembers.stream()
+        .skip(trackedMembers.isEmpty() ? 0 : random.nextInt(trackedMembers.size()))
         .findFirst()
-        .filter(m -> counter % RANDOM_INTRODUCTION_EVERY == 0)
+        .filter(m -> heartbeatCounter % ROUNDS_PER_RANDOM_MEMBER_INFO == 0)
         .map(Member::info)
         .filter(m -> !infos.contains(m))
         .ifPresent(infos::add);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/MessageCodec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/MessageCodec.java
@@ -16,7 +16,7 @@
 import org.lacewingcroft.fleet.FleetCodec;
 import org.lacewingcroft.idempotency.Claimant;
 import org.lacewingcroft.idempotency.IdempotencyTable;
-import org.lacewingcroft.membership.Liveness;
+import org.lacewingcroft.membership.Heartbeat;
 import org.lacewingcroft.membership.RegionDigest;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
@@ -149,16 +149,16 @@
     packMember(p, g.sender());
     p.packLong(g.configVersion());
     p.packArrayHeader(g.signs().size());
-    for (Liveness heartbeat : g.signs()) {
+    for (Heartbeat heartbeat : g.signs()) {
       p.packString(heartbeat.nodeId())
           .packLong(heartbeat.incarnation())
           .packLong(heartbeat.counter());
-      p.packBoolean(heartbeat.leaving());
+      p.packBoolean(heartbeat.draining());
     }
     packMembers(p, g.introductions());
     p.packArrayHeader(g.digests().size());
     for (RegionDigest d : g.digests()) {
-      p.packString(d.region()).packString(d.originator()).packLong(d.stamp());
+      p.packString(d.region()).packString(d.originator()).packLong(d.sequence());
       packMembers(p, d.contacts());
       packCounts(p, d.freeSlotsByModel());
     }
@@ -168,10 +168,10 @@
   private static PeerMessage.Gossip unpackGossip(MessageUnpacker u) throws IOException {
     final MemberInfo sender = unpackMember(u);
     final long configVersion = u.unpackLong();
-    List<Liveness> heartbeats = new ArrayList<>();
+    List<Heartbeat> heartbeats = new ArrayList<>();
     for (int n = u.unpackArrayHeader(); n > 0; n--) {
       heartbeats.add(
-          new Liveness(u.unpackString(), u.unpackLong(), u.unpackLong(), u.unpackBoolean()));
+          new Heartbeat(u.unpackString(), u.unpackLong(), u.unpackLong(), u.unpackBoolean()));
     }
     List<MemberInfo> memberInfos = unpackMembers(u);
     List<RegionDigest> digests = new ArrayList<>();
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/stream/EventSplitter.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/stream/EventSplitter.java
@@ -6,81 +6,83 @@
 import java.util.OptionalLong;
 
 /**
- * Cuts an event stream into whole events, so that only whole ones are passed on: an event broken
- * off in the middle can then be made again elsewhere, after the last one that the caller has.
+ * Splits an event stream into events, so that only complete events are forwarded: an event that is
+ * cut off can then be generated again by another endpoint, starting after the last event that the
+ * caller received.
  *
- * <p>An event ends with an empty line; its id stands in a line {@code id: N}.
+ * <p>An event ends with an empty line; its id is in a line {@code id: N}.
  */
 public final class EventSplitter {
   private static final String ID_FIELD = "id:";
 
-  private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
-  private final ByteArrayOutputStream event = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream completed = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream current = new ByteArrayOutputStream();
   private boolean lineEmpty = true;
   private OptionalLong lastId;
 
   /**
    * Creates a splitter.
    *
-   * @param lastId the id of the last event passed on so far; events up to it are dropped
+   * @param lastId the id of the last event forwarded so far; events up to it are dropped
    */
   public EventSplitter(OptionalLong lastId) {
     this.lastId = lastId;
   }
 
   /**
-   * Takes bytes of the stream.
+   * Appends bytes of the stream.
    *
-   * @return the bytes of the events that are complete now and not known yet, possibly none
+   * @return the bytes of the events that are now complete and not yet forwarded, possibly none
    */
   public byte[] append(byte[] bytes) {
-    pending.reset();
+    completed.reset();
     for (byte b : bytes) {
-      event.write(b);
+      current.write(b);
       if (b == '\n') {
         if (lineEmpty) {
-          finishEvent();
+          completeEvent();
         }
         lineEmpty = true;
       } else if (b != '\r') {
         lineEmpty = false;
       }
     }
-    return pending.toByteArray();
+    return completed.toByteArray();
   }
 
-  private void finishEvent() {
-    byte[] whole = event.toByteArray();
-    event.reset();
-    OptionalLong id = idOf(whole);
-    boolean known = id.isPresent() && lastId.isPresent() && id.getAsLong() <= lastId.getAsLong();
-    if (!known) {
-      pending.writeBytes(whole);
+  private void completeEvent() {
+    byte[] bytes = current.toByteArray();
+    current.reset();
+    OptionalLong id = idOf(bytes);
+    boolean forwarded =
+        id.isPresent() && lastId.isPresent() && id.getAsLong() <= lastId.getAsLong();
+    if (!forwarded) {
+      completed.writeBytes(bytes);
       lastId = id.isPresent() ? id : lastId;
     }
   }
 
-  private static OptionalLong idOf(byte[] whole) {
+  private static OptionalLong idOf(byte[] event) {
     Optional<String> id =
-        new String(whole, StandardCharsets.ISO_8859_1)
+        new String(event, StandardCharsets.ISO_8859_1)
             .lines()
             .filter(l -> l.startsWith(ID_FIELD))
             .map(l -> l.substring(ID_FIELD.length()).trim())
             .findFirst();
     try {
       return id.isPresent() ? OptionalLong.of(Long.parseLong(id.get())) : OptionalLong.empty();
-    } catch (NumberFormatException notNumbered) {
+    } catch (NumberFormatException notNumeric) {
       return OptionalLong.empty();
     }
   }
 
-  /** Returns the id of the last event passed on. */
+  /** Returns the id of the last event forwarded. */
   public OptionalLong lastId() {
     return lastId;
   }
 
-  /** Returns the bytes behind the last whole event. */
+  /** Returns the bytes after the last complete event. */
   public byte[] incompleteEvent() {
-    return event.toByteArray();
+    return current.toByteArray();
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacementMechanismTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacementMechanismTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The setting that names switched off mechanisms. */
+/** Parsing of the setting that lists disabled mechanisms. */
 class PlacementMechanismTest {
   static Stream<Arguments> accepted() {
     return Stream.of(
@@ -26,14 +26,14 @@
 
   @ParameterizedTest
   @MethodSource("accepted")
-  void readsNames(String text, Set<PlacementMechanism> named) {
-    assertThat(PlacementMechanism.parse(text), equalTo(named));
+  void parsesNames(String text, Set<PlacementMechanism> expected) {
+    assertThat(PlacementMechanism.parse(text), equalTo(expected));
   }
 
   @Test
-  void anUnknownNameIsRefusedWithThoseKnown() {
-    IllegalArgumentException refusal =
+  void rejectsUnknownNameAndListsValidNames() {
+    IllegalArgumentException exception =
         assertThrows(IllegalArgumentException.class, () -> PlacementMechanism.parse("TOKEN_PACES"));
-    assertThat(refusal.getMessage(), containsString("TOKEN_PACE,"));
+    assertThat(exception.getMessage(), containsString("TOKEN_PACE,"));
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerLoadTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerLoadTest.java
@@ -12,28 +12,28 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Placement under a region's load: long reviews that share long prefixes beside short urgent
- * questions, at the rates of a day's trough, peak and overload. Requests come in clumps, and
- * callers that were refused come back once. Several entries know of each other's prompts as they
- * tell of them: at once of long ones, of the others with a lag.
+ * Placement under a region's load: long reviews that share long prefixes alongside short urgent
+ * questions, at the rates of a day's trough, peak and overload. Requests arrive in bursts, and
+ * refused callers retry once. Several entries exchange reports of their prompts: long ones are
+ * reported at once, the others with a delay.
  */
 class PlacerLoadTest {
-  /** What a review is worth to its caller against a question. */
-  private static final double REVIEW_WORTH = 3.7;
+  /** Value of an on-time review to its caller, relative to a question. */
+  private static final double REVIEW_VALUE = 3.7;
 
-  private static final Duration LENGTH = Duration.ofSeconds(60);
+  private static final Duration DURATION = Duration.ofSeconds(60);
 
-  /** A row: load against three engines, and what must come of it. */
+  /** A test case: the load on three engines, and the bounds of the result. */
   record Row(
       String name,
       int entries,
       int reviewPriority,
-      double factor,
-      double urgentOnTime,
-      double reviewsOnTime,
-      double lateMost,
-      long readAgainMost,
-      double worth) {
+      double loadFactor,
+      double minUrgentOnTime,
+      double minReviewsOnTime,
+      double maxLateShare,
+      long maxDuplicateTokens,
+      double minValue) {
     @Override
     public String toString() {
       return name;
@@ -52,11 +52,11 @@
         new Row("four entries, overload", 4, 0, 1.6, 0.98, 0.62, 0.02, 1_250_000, 0.79));
   }
 
-  /** Long schedules that share few long contracts. */
-  private static LoadReplay.Kind schedules(double factor) {
-    return new LoadReplay.Kind(
+  /** Schedules: long prompts that share a small number of long contracts. */
+  private static LoadReplay.RequestKind schedules(double loadFactor) {
+    return new LoadReplay.RequestKind(
         "schedule",
-        3 * factor,
+        3 * loadFactor,
         0,
         13_300,
         29,
@@ -65,13 +65,16 @@
         Duration.ofSeconds(10));
   }
 
-  private static LoadReplay.Kind queries(double factor) {
-    return new LoadReplay.Kind(
-        "query", 45 * factor, 0, 92, 960, 291, Duration.ofSeconds(2), Duration.ofSeconds(5));
+  private static LoadReplay.RequestKind queries(double loadFactor) {
+    return new LoadReplay.RequestKind(
+        "query", 45 * loadFactor, 0, 92, 960, 291, Duration.ofSeconds(2), Duration.ofSeconds(5));
   }
 
-  /** A row: the load, and the most that may still be read again, as a share of it all. */
-  record NeighbourRow(double factor, double mostReadShare) {}
+  /**
+   * A test case: the load, and the maximum of shared tokens prefilled again with fetches, as a
+   * share of those without.
+   */
+  record NeighbourRow(double loadFactor, double maxDuplicateShare) {}
 
   static Stream<NeighbourRow> neighbourRows() {
     return Stream.of(
@@ -82,63 +85,73 @@
   }
 
   /**
-   * A region whose callers ask for what a neighbouring region has read: after a failover, or on
-   * every day in regions of their own.
+   * The callers of a region send prompts whose prefixes a neighbouring region has prefilled: after
+   * a failover, or every day if the regions serve the same documents.
    */
   @ParameterizedTest
   @MethodSource("neighbourRows")
-  void whatNeighboursHoldIsNotReadAgain(NeighbourRow row) {
-    LoadReplay.Kind schedules = schedules(row.factor());
-    LoadReplay without = new LoadReplay(3, 3, 11).withNeighbours(schedules, 2);
-    LoadReplay with = new LoadReplay(3, 3, 11).withNeighbours(schedules, 2).withFetches();
-    List<LoadReplay.Kind> kinds = List.of(schedules, queries(row.factor()));
-    final double onTimeWithout = without.run(kinds, LENGTH).get("schedule").onTimeShare();
-    final double onTime = with.run(kinds, LENGTH).get("schedule").onTimeShare();
-    assertThat("on time", onTime, greaterThanOrEqualTo(onTimeWithout - 0.01));
-    long most = Math.round(row.mostReadShare() * without.sharedTokensReadAgain());
-    assertThat("read again", with.sharedTokensReadAgain(), lessThanOrEqualTo(most));
+  void fetchesPrefixesFromNeighbours(NeighbourRow row) {
+    LoadReplay.RequestKind schedules = schedules(row.loadFactor());
+    LoadReplay withoutFetches = new LoadReplay(3, 3, 11).withNeighbours(schedules, 2);
+    LoadReplay withFetches =
+        new LoadReplay(3, 3, 11).withNeighbours(schedules, 2).withPrefixFetches();
+    List<LoadReplay.RequestKind> kinds = List.of(schedules, queries(row.loadFactor()));
+    final double onTimeWithoutFetches =
+        withoutFetches.run(kinds, DURATION).get("schedule").onTimeShare();
+    final double onTime = withFetches.run(kinds, DURATION).get("schedule").onTimeShare();
+    assertThat("on time", onTime, greaterThanOrEqualTo(onTimeWithoutFetches - 0.01));
+    long maxDuplicateTokens =
+        Math.round(row.maxDuplicateShare() * withoutFetches.duplicateSharedTokens());
+    assertThat(
+        "shared tokens prefilled again",
+        withFetches.duplicateSharedTokens(),
+        lessThanOrEqualTo(maxDuplicateTokens));
   }
 
   @ParameterizedTest
   @MethodSource("rows")
-  void servesOnTimeWhatItAdmits(Row row) {
+  void servesAdmittedRequestsOnTime(Row row) {
     LoadReplay replay = new LoadReplay(3, row.entries(), 11);
-    final Map<String, LoadReplay.Tally> tallies = run(replay, row);
-    LoadReplay.Tally review = tallies.get("review");
-    LoadReplay.Tally question = tallies.get("question");
-    assertThat("urgent on time", question.onTimeShare(), greaterThanOrEqualTo(row.urgentOnTime()));
-    assertThat("reviews on time", review.onTimeShare(), greaterThanOrEqualTo(row.reviewsOnTime()));
-    double late = (double) (review.late + question.late) / (review.asked + question.asked);
-    assertThat("late", late, lessThanOrEqualTo(row.lateMost()));
+    final Map<String, LoadReplay.Results> results = run(replay, row);
+    LoadReplay.Results review = results.get("review");
+    LoadReplay.Results question = results.get("question");
+    assertThat(
+        "questions on time", question.onTimeShare(), greaterThanOrEqualTo(row.minUrgentOnTime()));
+    assertThat(
+        "reviews on time", review.onTimeShare(), greaterThanOrEqualTo(row.minReviewsOnTime()));
+    double lateShare = (double) (review.late + question.late) / (review.sent + question.sent);
+    assertThat("late", lateShare, lessThanOrEqualTo(row.maxLateShare()));
     assertThat(
-        "read again", replay.sharedTokensReadAgain(), lessThanOrEqualTo(row.readAgainMost()));
-    double worth =
-        (REVIEW_WORTH * review.worth() * review.asked + question.worth() * question.asked)
-            / (REVIEW_WORTH * review.asked + question.asked);
-    assertThat("worth", worth, greaterThanOrEqualTo(row.worth()));
+        "shared tokens prefilled again",
+        replay.duplicateSharedTokens(),
+        lessThanOrEqualTo(row.maxDuplicateTokens()));
+    double value =
+        (REVIEW_VALUE * review.value() * review.sent + question.value() * question.sent)
+            / (REVIEW_VALUE * review.sent + question.sent);
+    assertThat("worth", value, greaterThanOrEqualTo(row.minValue()));
   }
 
-  private static Map<String, LoadReplay.Tally> run(LoadReplay replay, Row row) {
+  private static Map<String, LoadReplay.Results> run(LoadReplay replay, Row row) {
     return replay.run(
         List.of(
-            new LoadReplay.Kind(
+            new LoadReplay.RequestKind(
                 "review",
-                10 * row.factor(),
+                10 * row.loadFactor(),
                 row.reviewPriority(),
                 5_400,
                 55,
                 6_600,
                 Duration.ofMillis(800),
                 Duration.ofSeconds(10)),
-            new LoadReplay.Kind(
+            new LoadReplay.RequestKind(
                 "question",
-                48 * row.factor(),
+                48 * row.loadFactor(),
                 0,
                 570,
                 190,
                 1_800,
                 Duration.ofMillis(1_200),
                 Duration.ofMillis(2_500))),
-        LENGTH);
+        DURATION);
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PrefixFetchTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PrefixFetchTest.java
@@ -24,7 +24,7 @@
 import org.lacewingcroft.fleet.EndpointState;
 import org.lacewingcroft.route.ServiceSpec;
 
-/** From which endpoint the beginning of a prompt is fetched, and when it is read instead. */
+/** From which endpoint a prompt prefix is fetched, and when it is prefilled instead. */
 class PrefixFetchTest {
   private static final Instant NOW = Instant.parse("2030-01-01T00:00:00Z");
   private static final long KV_TOKENS = 345_000;
@@ -34,14 +34,15 @@
   private static final PromptPart NOTE = new PromptPart("note", 300);
 
   /**
-   * A row: the shared parts, who has read which of them, the link, and from whom what is fetched.
+   * A test case: the shared parts, which endpoints have prefilled which of them, the link speed,
+   * and the expected source and number of fetched tokens.
    */
   record Row(
       String name,
       List<PromptPart> shared,
-      Map<String, List<PromptPart>> read,
+      Map<String, List<PromptPart>> prefilled,
       double linkMbps,
-      Set<PlacementMechanism> off,
+      Set<PlacementMechanism> disabled,
       String source,
       long tokens) {
     @Override
@@ -51,52 +52,52 @@
   }
 
   static Stream<Row> rows() {
-    List<PromptPart> whole = List.of(COMMON, CONTRACT);
+    List<PromptPart> bothParts = List.of(COMMON, CONTRACT);
     Set<PlacementMechanism> none = Set.of();
     return Stream.of(
-        new Row("nobody has it", whole, Map.of(), FAST_LINK_MBPS, none, "none", 0),
+        new Row("prefix cached nowhere", bothParts, Map.of(), FAST_LINK_MBPS, none, "none", 0),
         new Row(
-            "another region has it",
-            whole,
-            Map.of("far", whole),
+            "prefix cached in another region",
+            bothParts,
+            Map.of("far", bothParts),
             FAST_LINK_MBPS,
             none,
             "far",
             13_000),
         new Row(
-            "the longer beginning is taken",
-            whole,
-            Map.of("far", whole, "near", List.of(COMMON)),
+            "longest cached prefix is fetched",
+            bothParts,
+            Map.of("far", bothParts, "near", List.of(COMMON)),
             FAST_LINK_MBPS,
             none,
             "far",
             13_000),
         new Row(
-            "the nearer of two equal ones",
-            whole,
-            Map.of("far", whole, "near", whole),
+            "source in the same failure domain is preferred",
+            bothParts,
+            Map.of("far", bothParts, "near", bothParts),
             FAST_LINK_MBPS,
             none,
             "near",
             13_000),
         new Row(
-            "only what is missing",
-            whole,
-            Map.of("far", whole, "target", List.of(COMMON)),
+            "only missing tokens are fetched",
+            bothParts,
+            Map.of("far", bothParts, "target", List.of(COMMON)),
             FAST_LINK_MBPS,
             none,
             "far",
             11_000),
         new Row(
-            "a part whose beginning is not held is no use",
-            whole,
+            "part without the parts before it is not fetched",
+            bothParts,
             Map.of("far", List.of(CONTRACT)),
             FAST_LINK_MBPS,
             none,
             "none",
             0),
         new Row(
-            "a short one is read",
+            "short prefix is prefilled",
             List.of(NOTE),
             Map.of("far", List.of(NOTE)),
             FAST_LINK_MBPS,
@@ -104,12 +105,19 @@
             "none",
             0),
         new Row(
-            "over a slow link it is read", whole, Map.of("far", whole), 20_000, none, "none", 0),
-        new Row("without links it is read", whole, Map.of("far", whole), 0, none, "none", 0),
+            "prefilled if the link is slow",
+            bothParts,
+            Map.of("far", bothParts),
+            20_000,
+            none,
+            "none",
+            0),
         new Row(
-            "switched off",
-            whole,
-            Map.of("far", whole),
+            "prefilled without a link", bothParts, Map.of("far", bothParts), 0, none, "none", 0),
+        new Row(
+            "mechanism disabled",
+            bothParts,
+            Map.of("far", bothParts),
             FAST_LINK_MBPS,
             EnumSet.of(PlacementMechanism.PREFIX_FETCH),
             "none",
@@ -118,22 +126,25 @@
 
   @ParameterizedTest
   @MethodSource("rows")
-  void fetchesWhatAnotherHolds(Row row) {
+  void fetchesPrefixFromCacheHolder(Row row) {
     Map<String, EndpointTracker> endpoints = new TreeMap<>();
     Map.of("target", "a", "near", "a", "far", "b")
         .forEach((id, domain) -> endpoints.put(id, tracker(id, domain)));
-    row.read().forEach((id, parts) -> endpoints.get(id).recordPrefix(parts, KV_TOKENS));
-    Placer.Context around =
-        around(List.of(endpoints.get("target")), endpoints.values(), row.linkMbps(), row.off());
+    row.prefilled().forEach((id, parts) -> endpoints.get(id).recordPrefix(parts, KV_TOKENS));
+    Placer.Context context =
+        context(
+            List.of(endpoints.get("target")), endpoints.values(), row.linkMbps(), row.disabled());
     Placement placement =
-        new Placer(3, new Random(1)).place(request(row.shared(), Set.of()), around, NOW);
+        new Placer(3, new Random(1)).place(request(row.shared(), Set.of()), context, NOW);
     Optional<Placement.PrefixFetch> fetch = ((Placement.ToEndpoint) placement).fetch();
     assertThat(fetch.map(f -> f.source().record().id()).orElse("none"), equalTo(row.source()));
     assertThat(fetch.map(Placement.PrefixFetch::tokens).orElse(0L), equalTo(row.tokens()));
   }
 
-  /** What happened to the only holder, and whether it is told of as a source afterwards. */
-  record HolderRow(String name, BiConsumer<EndpointTracker, Instant> event, boolean source) {
+  /**
+   * A test case: an event at the only cache holder, and whether it is used as a source afterwards.
+   */
+  record HolderRow(String name, BiConsumer<EndpointTracker, Instant> event, boolean isSource) {
     @Override
     public String toString() {
       return name;
@@ -142,27 +153,27 @@
 
   static Stream<HolderRow> holders() {
     return Stream.of(
-        new HolderRow("answers", (e, now) -> begin(e, now).bytesReceived(now), true),
+        new HolderRow("answers", (e, now) -> startRequest(e, now).bytesReceived(now), true),
         new HolderRow(
-            "answers in full",
-            (e, now) -> begin(e, now).finish(EndpointTracker.Outcome.ANSWERED, now),
+            "completes a response",
+            (e, now) -> startRequest(e, now).finish(EndpointTracker.Outcome.ANSWERED, now),
             true),
         new HolderRow(
-            "is full",
-            (e, now) -> begin(e, now).finish(EndpointTracker.Outcome.NOT_RUN, now),
+            "rejects a request because it is full",
+            (e, now) -> startRequest(e, now).finish(EndpointTracker.Outcome.NOT_RUN, now),
             true),
         new HolderRow(
-            "breaks off an answer",
-            (e, now) -> begin(e, now).finish(EndpointTracker.Outcome.FAILED, now),
+            "closes the connection during a response",
+            (e, now) -> startRequest(e, now).finish(EndpointTracker.Outcome.FAILED, now),
             false),
         new HolderRow(
-            "broke one off long ago",
+            "closed a connection during a response 5 s ago",
             (e, now) ->
-                begin(e, now.minusSeconds(5))
+                startRequest(e, now.minusSeconds(5))
                     .finish(EndpointTracker.Outcome.FAILED, now.minusSeconds(5)),
             true),
         new HolderRow(
-            "owes an answer and is silent", (e, now) -> begin(e, now.minusSeconds(2)), false),
+            "has an overdue response", (e, now) -> startRequest(e, now.minusSeconds(2)), false),
         new HolderRow("refuses connections", EndpointTracker::recordConnectFailure, false),
         new HolderRow(
             "is lost",
@@ -172,73 +183,80 @@
 
   @ParameterizedTest
   @MethodSource("holders")
-  void onlySoundHoldersYield(HolderRow row) {
+  void onlyHealthyHoldersAreSources(HolderRow row) {
     EndpointTracker holder = tracker("holder", "a");
     row.event().accept(holder, NOW);
-    assertThat(holder.isPrefixSource(NOW), equalTo(row.source()));
+    assertThat(holder.isPrefixSource(NOW), equalTo(row.isSource()));
   }
 
-  /** The answer broke off at the holder itself: its next endpoint must not ask it. */
+  /**
+   * After the connection to the cache holder was lost during a response, the endpoint of the next
+   * attempt must not fetch from that holder.
+   */
   @Test
-  void passedOverHolderIsNoSource() {
+  void excludedHolderIsNoSource() {
     EndpointTracker holder = tracker("holder", "a");
     holder.recordPrefix(List.of(COMMON, CONTRACT), KV_TOKENS);
-    Placer.Context around =
-        around(List.of(tracker("target", "a")), List.of(holder), FAST_LINK_MBPS, Set.of());
-    PlacementRequest again = request(List.of(COMMON, CONTRACT), Set.of("holder"));
-    Placement.ToEndpoint here =
-        (Placement.ToEndpoint) new Placer(3, new Random(1)).place(again, around, NOW);
-    assertThat(here.fetch().isPresent(), equalTo(false));
+    Placer.Context context =
+        context(List.of(tracker("target", "a")), List.of(holder), FAST_LINK_MBPS, Set.of());
+    PlacementRequest retry = request(List.of(COMMON, CONTRACT), Set.of("holder"));
+    Placement.ToEndpoint placement =
+        (Placement.ToEndpoint) new Placer(3, new Random(1)).place(retry, context, NOW);
+    assertThat(placement.fetch().isPresent(), equalTo(false));
   }
 
   /**
-   * Replays a crash at the peak: the engine that holds three long prompts breaks off, and they are
-   * placed again at once on the two that are left. Their reading is foreseen, so that it is shared
-   * and the questions that follow do not wait behind it unforeseen.
+   * An engine that caches three long prompts crashes at the peak, and the prompts are placed again
+   * on the two engines left. Guards against estimates that still assume a fetch from the crashed
+   * engine: the full prefill must be accounted for, so that it is distributed over both engines and
+   * the requests that follow are not placed behind prefills missing from the estimates.
    */
   @Test
-  void promptsOfCrashedEngineAreKnownToBeReadInFull() {
+  void accountsForFullPrefillAfterCrash() {
     EndpointTracker crashed = tracker("crashed", "a");
     long[] contractTokens = {10_000, 17_000, 23_000};
     List<PlacementRequest> prompts = new ArrayList<>();
     for (long tokens : contractTokens) {
       prompts.add(request(List.of(new PromptPart("contract-" + tokens, tokens)), Set.of()));
     }
-    List<EndpointTracker.InFlightRequest> open = new ArrayList<>();
+    List<EndpointTracker.InFlightRequest> requests = new ArrayList<>();
     for (PlacementRequest prompt : prompts) {
-      open.add(crashed.startRequest(prompt, 0, KV_TOKENS, NOW));
+      requests.add(crashed.startRequest(prompt, 0, KV_TOKENS, NOW));
       crashed.recordPrefix(prompt.sharedParts(), KV_TOKENS);
     }
-    open.forEach(ticket -> ticket.finish(EndpointTracker.Outcome.FAILED, NOW));
-    List<EndpointTracker> left = List.of(tracker("left-1", "a"), tracker("left-2", "a"));
+    requests.forEach(request -> request.finish(EndpointTracker.Outcome.FAILED, NOW));
+    List<EndpointTracker> survivors = List.of(tracker("left-1", "a"), tracker("left-2", "a"));
     List<EndpointTracker> holders =
-        Stream.concat(left.stream(), Stream.of(crashed))
+        Stream.concat(survivors.stream(), Stream.of(crashed))
             .filter(e -> e.isPrefixSource(NOW))
             .toList();
-    long unread = 0;
+    long prefillTokens = 0;
     for (PlacementRequest prompt : prompts) {
-      Placement.ToEndpoint here =
+      Placement.ToEndpoint placement =
           (Placement.ToEndpoint)
               new Placer(3, new Random(1))
-                  .place(prompt, around(left, holders, FAST_LINK_MBPS, Set.of()), NOW);
-      long fetched = here.fetch().map(Placement.PrefixFetch::tokens).orElse(0L);
-      unread += here.endpoint().startRequest(prompt, fetched, KV_TOKENS, NOW).prefillTokens();
+                  .place(prompt, context(survivors, holders, FAST_LINK_MBPS, Set.of()), NOW);
+      long fetched = placement.fetch().map(Placement.PrefixFetch::tokens).orElse(0L);
+      prefillTokens +=
+          placement.endpoint().startRequest(prompt, fetched, KV_TOKENS, NOW).prefillTokens();
     }
-    assertThat(unread, equalTo(prompts.stream().mapToLong(PlacementRequest::promptTokens).sum()));
-    for (EndpointTracker engine : left) {
+    assertThat(
+        prefillTokens, equalTo(prompts.stream().mapToLong(PlacementRequest::promptTokens).sum()));
+    for (EndpointTracker engine : survivors) {
       assertThat(engine.inFlight(), greaterThan(0));
     }
   }
 
-  private static EndpointTracker.InFlightRequest begin(EndpointTracker endpoint, Instant at) {
+  private static EndpointTracker.InFlightRequest startRequest(
+      EndpointTracker endpoint, Instant at) {
     return endpoint.startRequest(request(List.of(COMMON), Set.of()), 0, KV_TOKENS, at);
   }
 
-  private static Placer.Context around(
+  private static Placer.Context context(
       Collection<EndpointTracker> endpoints,
       Collection<EndpointTracker> holders,
       double linkMbps,
-      Set<PlacementMechanism> off) {
+      Set<PlacementMechanism> disabled) {
     return new Placer.Context(
         endpoints,
         "e1",
@@ -250,7 +268,7 @@
         "here",
         holders,
         Optional.of(new ServiceSpec.Engine(128, KV_TOKENS, 4, 35_136, linkMbps)),
-        off);
+        disabled);
   }
 
   private static EndpointTracker tracker(String id, String domain) {
@@ -261,11 +279,18 @@
     return new EndpointRecord(id, 0, "s", "10.0.0.1:1", domain, 128, state, 1, 0);
   }
 
-  private static PlacementRequest request(List<PromptPart> shared, Set<String> passedOver) {
+  private static PlacementRequest request(List<PromptPart> shared, Set<String> excludedEndpoints) {
     List<PromptPart> parts =
         Stream.concat(shared.stream(), Stream.of(new PromptPart("own", 500))).toList();
     long tokens = parts.stream().mapToLong(PromptPart::tokens).sum();
     return new PlacementRequest(
-        "s", 0, tokens, 100, parts, Duration.ofMillis(1_200), Duration.ofSeconds(10), passedOver);
+        "s",
+        0,
+        tokens,
+        100,
+        parts,
+        Duration.ofMillis(1_200),
+        Duration.ofSeconds(10),
+        excludedEndpoints);
   }
 }
