--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
@@ -31,7 +31,7 @@
 import org.lacewingcroft.http.StrictRequestDecoder;
 import org.lacewingcroft.membership.Gossiper;
 import org.lacewingcroft.metrics.GatewayMetrics;
-import org.lacewingcroft.misc.SteadyInstantSource;
+import org.lacewingcroft.misc.MonotonicInstantSource;
 import org.lacewingcroft.peer.FrameCodec;
 import org.lacewingcroft.peer.LinkFaults;
 import org.lacewingcroft.peer.MemberInfo;
@@ -51,7 +51,7 @@
   private static final int MIN_DRAIN_HEARTBEATS = 4;
 
   private final Settings settings;
-  private final InstantSource clock = new SteadyInstantSource();
+  private final InstantSource clock = new MonotonicInstantSource();
   private final Vertx vertx;
   private final GatewayMetrics metrics = new GatewayMetrics();
   private final ConfigStore configs = new ConfigStore();
@@ -277,7 +277,8 @@
    * Requests a peer's configuration if its version is newer than any version offered to this entry.
    */
   private void onPeerVersion(String peerAddress, long version) {
-    if (settings.role() == Role.ENTRY && configReceiver.onReportedVersion(version, clock.instant())) {
+    if (settings.role() == Role.ENTRY
+        && configReceiver.onReportedVersion(version, clock.instant())) {
       transport.send(
           peerAddress,
           new PeerMessage.ConfigRequest(
@@ -291,13 +292,13 @@
    */
   private void onConfigRequest(PeerMessage.ConfigRequest request) {
     ConfigStore.Applied current = configs.current();
-    if (current.version() <= request.haveVersion()) {
+    if (current.version() <= request.senderVersion()) {
       return;
     }
     PeerMessage response =
         configs
-            .patchesSince(request.haveVersion())
-            .<PeerMessage>map(p -> new PeerMessage.ConfigPatches(request.haveVersion(), p))
+            .patchesSince(request.senderVersion())
+            .<PeerMessage>map(p -> new PeerMessage.ConfigPatches(request.senderVersion(), p))
             .orElseGet(() -> new PeerMessage.ConfigOffer(current.version(), current.document()));
     transport.send(request.replyTo(), response);
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
@@ -314,7 +314,7 @@
    * @param limit maximum number of addresses
    */
   public List<String> entriesFor(String host, String region, int limit) {
-    return DirectorySelector.select(readyEntries(), region, routes().homesOf(host), limit);
+    return DirectorySelector.select(readyEntries(), region, routes().homeRegionsOf(host), limit);
   }
 
   /** Returns the active routes, parsing the document again only when its version has changed. */
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/EndpointRegistry.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/EndpointRegistry.java
@@ -70,7 +70,7 @@
 
   /** Adds or renews an endpoint relayed by a peer; its lease starts now by this daemon's clock. */
   public void renew(Endpoint endpoint) {
-    put(endpoint.leasedUntil(clock.instant().plus(lease)));
+    put(endpoint.withLeaseExpiry(clock.instant().plus(lease)));
   }
 
   private void put(Endpoint endpoint) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/KeyOwnership.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/KeyOwnership.java
@@ -228,7 +228,7 @@
           .ifPresent(
               claim ->
                   reply
-                      .held()
+                      .existing()
                       .ifPresentOrElse(claim::onDenied, () -> claim.onGranted(reply.from())));
     }
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RegionView.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RegionView.java
@@ -56,9 +56,9 @@
   Map<String, Integer> freeSlotsByModel() {
     Map<String, Integer> free = new HashMap<>();
     Instant now = clock.instant();
-    Set<String> paused = health.paused(now).keySet();
+    Set<String> paused = health.remainingPauses(now).keySet();
     for (Endpoint endpoint : endpoints.snapshot().all()) {
-      if (endpoint.region().equals(region) && endpoint.acceptsWork(now)) {
+      if (endpoint.region().equals(region) && endpoint.acceptsRequests(now)) {
         int load =
             paused.contains(endpoint.id())
                 ? endpoint.capacity()
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RouteChooser.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RouteChooser.java
@@ -50,8 +50,8 @@
   RouteDecision choose(Exchange exchange) {
     Instant now = clock.instant();
     Set<String> excluded = new HashSet<>(exchange.excludedTargets());
-    excluded.addAll(health.paused(now).keySet());
-    Set<String> excludedOrInBackoff = new HashSet<>(health.isInBackoff(now));
+    excluded.addAll(health.remainingPauses(now).keySet());
+    Set<String> excludedOrInBackoff = new HashSet<>(health.endpointsInBackoff(now));
     excludedOrInBackoff.addAll(excluded);
     RouteDecision decision = route(exchange, excludedOrInBackoff);
     boolean refused = decision instanceof RouteDecision.Refuse;
@@ -65,7 +65,7 @@
    * requests again; empty if none is paused.
    */
   Optional<Duration> remainingPause(Exchange exchange) {
-    Map<String, Duration> paused = health.paused(clock.instant());
+    Map<String, Duration> paused = health.remainingPauses(clock.instant());
     return endpoints.snapshot().serving(exchange.request().model()).stream()
         .map(Endpoint::id)
         .flatMap(id -> Optional.ofNullable(paused.get(id)).stream())
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/FleetHarness.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/FleetHarness.java
@@ -24,7 +24,7 @@
 import org.lacewingcroft.fleet.FleetBounds;
 import org.lacewingcroft.fleet.FleetSettings;
 import org.lacewingcroft.metrics.GatewayMetrics;
-import org.lacewingcroft.misc.SteadyInstantSource;
+import org.lacewingcroft.misc.MonotonicInstantSource;
 import org.lacewingcroft.peer.LoopbackPorts;
 import org.lacewingcroft.route.Route;
 import org.lacewingcroft.route.RouteKind;
@@ -115,7 +115,7 @@
                   context,
                   settings,
                   document -> tables.get(Long.parseLong(document)),
-                  new SteadyInstantSource(),
+                  new MonotonicInstantSource(),
                   new GatewayMetrics());
           return control.start();
         });
@@ -172,7 +172,7 @@
             "127.0.0.1:" + publicPort,
             settings.peerAddress(),
             settings.relayAddress());
-    SteadyInstantSource clock = new SteadyInstantSource();
+    MonotonicInstantSource clock = new MonotonicInstantSource();
     EntryNode node =
         new EntryNode(
             context,
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/Endpoint.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/Endpoint.java
@@ -49,7 +49,7 @@
   }
 
   /** Returns whether the endpoint may be sent new requests at the given time. */
-  public boolean acceptsWork(Instant now) {
+  public boolean acceptsRequests(Instant now) {
     return !draining && now.isBefore(leaseExpiresAt);
   }
 
@@ -62,7 +62,7 @@
   }
 
   /** Returns a copy of this announcement whose lease expires at the given time. */
-  public Endpoint leasedUntil(Instant expiresAt) {
+  public Endpoint withLeaseExpiry(Instant expiresAt) {
     return new Endpoint(
         id,
         baseUrl,
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/EndpointHealth.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/EndpointHealth.java
@@ -57,7 +57,7 @@
   /**
    * Returns the remaining pause of each endpoint that is paused at the given time, by endpoint id.
    */
-  public Map<String, Duration> paused(Instant now) {
+  public Map<String, Duration> remainingPauses(Instant now) {
     pausedUntil.values().removeIf(until -> !until.isAfter(now));
     Map<String, Duration> remaining = new HashMap<>();
     pausedUntil.forEach((id, until) -> remaining.put(id, Duration.between(now, until)));
@@ -70,7 +70,7 @@
   }
 
   /** Returns the ids of the endpoints that are in backoff at the given time. */
-  public Set<String> isInBackoff(Instant now) {
+  public Set<String> endpointsInBackoff(Instant now) {
     if (backoffs.isEmpty()) {
       return Set.of();
     }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Gossiper.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Gossiper.java
@@ -137,7 +137,7 @@
                 .filter(m -> !m.info().nodeId().equals(requester.nodeId()))
                 .toList(),
             MAX_MEMBERS_PER_RESPONSE);
-    if (!request.asking() || members.isEmpty()) {
+    if (!request.replyRequested() || members.isEmpty()) {
       return Optional.empty();
     }
     List<Heartbeat> heartbeats = new ArrayList<>();
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/MemberTable.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/MemberTable.java
@@ -73,9 +73,9 @@
     Map<String, Member> members = new HashMap<>(byId);
     final Map<String, RegionDigest> digests = new HashMap<>(digestByOriginator);
     Map<String, Heartbeat> heartbeats = new HashMap<>();
-    gossip.signs().forEach(heartbeat -> heartbeats.put(heartbeat.nodeId(), heartbeat));
+    gossip.heartbeats().forEach(heartbeat -> heartbeats.put(heartbeat.nodeId(), heartbeat));
     applyMemberInfo(gossip.sender(), heartbeats, members, now);
-    gossip.introductions().forEach(i -> applyMemberInfo(i, heartbeats, members, now));
+    gossip.memberInfos().forEach(i -> applyMemberInfo(i, heartbeats, members, now));
     heartbeats.values().forEach(heartbeat -> applyHeartbeat(heartbeat, members, now));
     gossip.digests().forEach(d -> applyDigest(d, digests, members, now));
     recordRemoteSender(gossip.sender(), heartbeats, members, now);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/MessageCodec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/MessageCodec.java
@@ -66,7 +66,7 @@
         p.packString(o.document());
       } else if (message instanceof PeerMessage.ConfigRequest r) {
         p.packInt(CONFIG_REQUEST);
-        p.packLong(r.haveVersion());
+        p.packLong(r.senderVersion());
         p.packString(r.replyTo());
       } else if (message instanceof PeerMessage.IdempotencyRecord r) {
         p.packInt(IDEMPOTENCY_RECORD);
@@ -78,9 +78,9 @@
         p.packString(c.replyTo());
       } else if (message instanceof PeerMessage.KeyClaimReply c) {
         p.packInt(KEY_CLAIM_REPLY);
-        p.packLong(c.callId()).packString(c.from()).packBoolean(c.held().isPresent());
-        if (c.held().isPresent()) {
-          packRecord(p, c.held().get());
+        p.packLong(c.callId()).packString(c.from()).packBoolean(c.existing().isPresent());
+        if (c.existing().isPresent()) {
+          packRecord(p, c.existing().get());
         }
       } else if (message instanceof PeerMessage.KeyRelease c) {
         p.packInt(KEY_RELEASE);
@@ -148,21 +148,21 @@
   private static void packGossip(MessageBufferPacker p, PeerMessage.Gossip g) throws IOException {
     packMember(p, g.sender());
     p.packLong(g.configVersion());
-    p.packArrayHeader(g.signs().size());
-    for (Heartbeat heartbeat : g.signs()) {
+    p.packArrayHeader(g.heartbeats().size());
+    for (Heartbeat heartbeat : g.heartbeats()) {
       p.packString(heartbeat.nodeId())
           .packLong(heartbeat.incarnation())
           .packLong(heartbeat.counter());
       p.packBoolean(heartbeat.draining());
     }
-    packMembers(p, g.introductions());
+    packMembers(p, g.memberInfos());
     p.packArrayHeader(g.digests().size());
     for (RegionDigest d : g.digests()) {
       p.packString(d.region()).packString(d.originator()).packLong(d.sequence());
       packMembers(p, d.contacts());
       packCounts(p, d.freeSlotsByModel());
     }
-    p.packBoolean(g.asking());
+    p.packBoolean(g.replyRequested());
   }
 
   private static PeerMessage.Gossip unpackGossip(MessageUnpacker u) throws IOException {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/PeerMessage.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/PeerMessage.java
@@ -21,23 +21,25 @@
    *
    * @param sender the sending daemon's description
    * @param configVersion the active configuration version of the sender
-   * @param signs the latest heartbeats of the sender, its region's members and the control group
-   * @param introductions descriptions of some of those members
+   * @param heartbeats the latest heartbeats of the sender, its region's members and the control
+   *     group
+   * @param memberInfos descriptions of some of those members
    * @param digests the latest digests of some regions
-   * @param asking whether the sender is looking for members of its region and requests a reply
+   * @param replyRequested whether the sender is looking for members of its region and requests a
+   *     reply
    */
   record Gossip(
       MemberInfo sender,
       long configVersion,
-      List<Heartbeat> signs,
-      List<MemberInfo> introductions,
+      List<Heartbeat> heartbeats,
+      List<MemberInfo> memberInfos,
       List<RegionDigest> digests,
-      boolean asking)
+      boolean replyRequested)
       implements PeerMessage {
     /** Copies the collections so that the message is immutable. */
     public Gossip {
-      signs = List.copyOf(signs);
-      introductions = List.copyOf(introductions);
+      heartbeats = List.copyOf(heartbeats);
+      memberInfos = List.copyOf(memberInfos);
       digests = List.copyOf(digests);
     }
   }
@@ -80,12 +82,12 @@
   }
 
   /**
-   * Requests the configuration of the receiver if it is newer than {@code haveVersion}.
+   * Requests the configuration of the receiver if it is newer than {@code senderVersion}.
    *
-   * @param haveVersion the configuration version of the sender
+   * @param senderVersion the configuration version of the sender
    * @param replyTo the sender's peer address
    */
-  record ConfigRequest(long haveVersion, String replyTo) implements PeerMessage {}
+  record ConfigRequest(long senderVersion, String replyTo) implements PeerMessage {}
 
   /**
    * An at-most-once record, replicated to the other replicas of its key.
@@ -110,9 +112,9 @@
    *
    * @param callId the id of the call
    * @param from the replica's node id
-   * @param held the existing record of the key; empty if the claim is granted
+   * @param existing the existing record of the key; empty if the claim is granted
    */
-  record KeyClaimReply(long callId, String from, Optional<IdempotencyTable.Entry> held)
+  record KeyClaimReply(long callId, String from, Optional<IdempotencyTable.Entry> existing)
       implements PeerMessage {}
 
   /**
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placer.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placer.java
@@ -395,7 +395,7 @@
 
   private static boolean supportsFetch(Context context) {
     return context.uses(PlacementMechanism.PREFIX_FETCH)
-        && context.engine().filter(ServiceSpec.Engine::fetches).isPresent();
+        && context.engine().filter(ServiceSpec.Engine::supportsKvFetch).isPresent();
   }
 
   private static boolean isWorthFetching(
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/request/RequestFingerprint.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/request/RequestFingerprint.java
@@ -36,7 +36,7 @@
     String fields =
         method
             + FIELD_TERMINATOR
-            + HostHeader.nameOf(hostHeader)
+            + HostHeader.hostOf(hostHeader)
             + FIELD_TERMINATOR
             + target
             + FIELD_TERMINATOR;
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/Route.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/Route.java
@@ -18,7 +18,7 @@
  * @param shares the services that may serve its requests, with their weights
  * @param maxAttempts the maximum number of endpoints that one request may be run on
  * @param resumable whether a stream that has sent an event may be resumed at another endpoint
- * @param pauseObjective the target maximum time between two events of a stream; empty for none
+ * @param eventGapObjective the target maximum time between two events of a stream; empty for none
  * @param homeRegions the regions that may run its requests; empty for any
  * @param authExempt whether callers need no API key
  */
@@ -33,7 +33,7 @@
     List<ServiceShare> shares,
     int maxAttempts,
     boolean resumable,
-    Optional<Duration> pauseObjective,
+    Optional<Duration> eventGapObjective,
     Set<String> homeRegions,
     boolean authExempt) {
 
@@ -58,7 +58,7 @@
    *
    * @param point a random number, uniformly distributed from 0 (inclusive) to 1 (exclusive)
    */
-  public String pick(double point) {
+  public String pickService(double point) {
     int total = shares.stream().mapToInt(ServiceShare::weight).sum();
     double remaining = point * total;
     for (ServiceShare share : shares) {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/RouteTable.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/RouteTable.java
@@ -151,7 +151,7 @@
    * of its routes with home regions have in common. Empty if no route of the host has home regions
    * or if they have none in common.
    */
-  public Set<String> homesOf(String hostHeader) {
+  public Set<String> homeRegionsOf(String hostHeader) {
     Set<String> common = new HashSet<>();
     routesOf(hostHeader).stream()
         .map(Route::homeRegions)
@@ -178,6 +178,6 @@
   }
 
   private List<Route> routesOf(String hostHeader) {
-    return routesByHost.getOrDefault(HostHeader.nameOf(hostHeader), List.of());
+    return routesByHost.getOrDefault(HostHeader.hostOf(hostHeader), List.of());
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/ServiceSpec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/ServiceSpec.java
@@ -36,7 +36,7 @@
     private static final double BITS_PER_MILLI_AT_ONE_MBPS = 1_000;
 
     /** Returns whether engines support KV cache fetches from each other. */
-    public boolean fetches() {
+    public boolean supportsKvFetch() {
       return linkMbps > 0 && tokenKvBytes > 0;
     }
 
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/endpoint/EndpointHealthTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/endpoint/EndpointHealthTest.java
@@ -29,9 +29,10 @@
     for (int i = 0; i < failures; i++) {
       health.recordFailure("e1", T0);
     }
-    assertThat(health.isInBackoff(T0.plusMillis(elapsedMillis)).contains("e1"), is(inBackoff));
+    assertThat(
+        health.endpointsInBackoff(T0.plusMillis(elapsedMillis)).contains("e1"), is(inBackoff));
     health.recordSuccess("e1");
-    assertThat(health.isInBackoff(T0), is(Set.of()));
+    assertThat(health.endpointsInBackoff(T0), is(Set.of()));
   }
 
   /**
@@ -44,8 +45,9 @@
     health.recordPause("e1", Duration.ofSeconds(3), T0);
     health.recordPause("e1", Duration.ofSeconds(1), T0.plusMillis(100));
     health.recordSuccess("e1");
-    assertThat(health.paused(T0.plusMillis(2_999)), is(Map.of("e1", Duration.ofMillis(1))));
-    assertThat(health.paused(T0.plusMillis(3_000)), is(Map.of()));
+    assertThat(
+        health.remainingPauses(T0.plusMillis(2_999)), is(Map.of("e1", Duration.ofMillis(1))));
+    assertThat(health.remainingPauses(T0.plusMillis(3_000)), is(Map.of()));
   }
 
   /** Verifies that a delayed announcement does not override a newer one that announced draining. */
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/membership/GossipTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/membership/GossipTest.java
@@ -187,7 +187,7 @@
       assertThat(node.info.nodeId(), sent.size(), is(lessThanOrEqualTo(maxMessages)));
       for (Gossiper.Outgoing message : sent) {
         PeerMessage.Gossip gossip = message.gossip();
-        assertThat(gossip.signs().size(), is(lessThanOrEqualTo(32)));
+        assertThat(gossip.heartbeats().size(), is(lessThanOrEqualTo(32)));
       }
     }
   }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/route/RouteTableTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/route/RouteTableTest.java
@@ -71,8 +71,8 @@
     RouteTable table =
         table(withHomeRegions("r", "/a/", firstHomes), withHomeRegions("q", "/b/", secondHomes));
     assertThat(
-        String.join(" ", new TreeSet<>(table.homesOf("HOST.example:80"))), equalTo(expected));
-    assertThat(table.homesOf("other.example"), equalTo(Set.of()));
+        String.join(" ", new TreeSet<>(table.homeRegionsOf("HOST.example:80"))), equalTo(expected));
+    assertThat(table.homeRegionsOf("other.example"), equalTo(Set.of()));
   }
 
   private static Route withHomeRegions(String name, String prefix, String homeRegions) {
@@ -88,7 +88,7 @@
         base.shares(),
         base.maxAttempts(),
         base.resumable(),
-        base.pauseObjective(),
+        base.eventGapObjective(),
         homeRegions.isEmpty() ? Set.of() : Set.of(homeRegions.split(" ")),
         false);
   }
@@ -121,7 +121,7 @@
   @CsvSource({"0.0, s", "0.89, s", "0.91, t", "0.9999, t"})
   void picksServicesByWeight(double point, String expected) {
     Route route = route("r", "/a/", 1, new ServiceShare("s", 90), new ServiceShare("t", 10));
-    assertThat(route.pick(point), equalTo(expected));
+    assertThat(route.pickService(point), equalTo(expected));
   }
 
   private static Organisation organisation(String name, String... keys) {
