--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
@@ -277,7 +277,8 @@
    * Requests a peer's configuration if its version is newer than any version offered to this entry.
    */
   private void onPeerVersion(String peerAddress, long version) {
-    if (settings.role() == Role.ENTRY && configReceiver.onReportedVersion(version, clock.instant())) {
+    if (settings.role() == Role.ENTRY
+        && configReceiver.onReportedVersion(version, clock.instant())) {
       transport.send(
           peerAddress,
           new PeerMessage.ConfigRequest(
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/Membership.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/Membership.java
@@ -103,7 +103,8 @@
   }
 
   private Duration suspicionTimeout() {
-    return interval.multipliedBy(MemberTable.suspicionTimeoutIntervals(table().trackedMembers().size() + 1));
+    return interval.multipliedBy(
+        MemberTable.suspicionTimeoutIntervals(table().trackedMembers().size() + 1));
   }
 
   /** Sends this interval's gossip. */
