--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/DurableLog.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/DurableLog.java
@@ -24,17 +24,17 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * A control group member's log in its data folder: {@code hard-state}, {@code snapshot} and {@code
- * config.log}, as records of {@link DurableFile}.
+ * The log of a control group member in its data folder: the files {@code hard-state}, {@code
+ * snapshot} and {@code config.log}, which hold records of {@link DurableFile}.
  *
- * <p>On open, a torn tail of the log (a crash between write and sync) is cut off: its entries were
- * never acknowledged. The data folder's id is made once, with the hard state; an empty folder makes
- * a voter only on the deployment's first start.
+ * <p>On open, a torn tail of the log, left by a crash between write and sync, is truncated: its
+ * entries were never acknowledged. The id of the data folder is generated once and stored in the
+ * hard state. A member with an empty folder is a voter only on the deployment's first start.
  *
- * <p>Not thread-safe: the control role's single thread owns it.
+ * <p>Not thread-safe: confined to the thread of its {@link ConsensusDriver}.
  */
 public final class DurableLog implements LogStorage, AutoCloseable {
-  /** The log file's name inside the data folder. */
+  /** The name of the log file in the data folder. */
   public static final String LOG_FILE = "config.log";
 
   private static final System.Logger LOG = System.getLogger(DurableLog.class.getName());
@@ -49,11 +49,11 @@
   private Snapshot snapshot;
   private FileChannel channel;
 
-  private interface Packing {
+  private interface PackFunction {
     void pack(MessagePacker packer) throws IOException;
   }
 
-  private interface Unpacking<T> {
+  private interface UnpackFunction<T> {
     T unpack(MessageUnpacker unpacker) throws IOException;
   }
 
@@ -63,14 +63,15 @@
   }
 
   /**
-   * Opens the log in a data folder, which is created if absent, and recovers what is valid.
+   * Opens the log in a data folder, which is created if absent, and recovers its valid records.
    *
    * @param dataDir the data folder
-   * @param bootstrap true only on the deployment's first start: an empty folder may then vote
+   * @param bootstrap true only on the deployment's first start: a member with an empty folder may
+   *     vote then
    * @throws IOException if the folder or a file cannot be used
    */
   public static DurableLog open(Path dataDir, boolean bootstrap) throws IOException {
-    return open(dataDir, bootstrap, DurableFile.TO_DISK);
+    return open(dataDir, bootstrap, DurableFile.FORCE_TO_DISK);
   }
 
   static DurableLog open(Path dataDir, boolean bootstrap, DurableFile.Sync sync)
@@ -84,19 +85,19 @@
   }
 
   /**
-   * Opens the log of a group that its log names. On the deployment's first start the founding
-   * members begin with a snapshot that names them; every other data folder that is empty begins as
-   * a non-voter that learns the group from its leader.
+   * Opens the log of a group whose members are recorded in the log itself. On the deployment's
+   * first start the founding members start from a snapshot that lists them; with any other empty
+   * data folder the instance starts as a non-voter that receives the members from the leader.
    *
    * @param dataDir the data folder
-   * @param founders the ids of the founding members if this is one of them on the first start,
-   *     otherwise empty
+   * @param founders the ids of the founding members if this instance is one of them on the first
+   *     start, otherwise empty
    * @throws IOException if the folder or a file cannot be used
    */
-  public static DurableLog openFounded(Path dataDir, Set<String> founders) throws IOException {
+  public static DurableLog openWithFounders(Path dataDir, Set<String> founders) throws IOException {
     DurableLog log = open(dataDir, !founders.isEmpty());
-    boolean unused = log.snapshot.equals(Snapshot.EMPTY) && log.entries.isEmpty();
-    if (!founders.isEmpty() && unused) {
+    boolean empty = log.snapshot.equals(Snapshot.EMPTY) && log.entries.isEmpty();
+    if (!founders.isEmpty() && empty) {
       log.compact(new Snapshot(0, 0, ConfigState.EMPTY.withMembers(founders)), List.of());
     }
     return log;
@@ -153,13 +154,13 @@
     channel.position(channel.size());
   }
 
-  /** Replaces the log file by one with just these entries. */
-  private void rewrite(List<LogEntry> kept) throws IOException {
+  /** Replaces the log file by one that contains only the given entries. */
+  private void rewrite(List<LogEntry> retained) throws IOException {
     Path file = dataDir.resolve(LOG_FILE);
     List<byte[]> payloads = new ArrayList<>();
     List<Long> offsets = new ArrayList<>();
     long offset = 0;
-    for (LogEntry e : kept) {
+    for (LogEntry e : retained) {
       byte[] payload = encode(p -> ConsensusCodec.packEntry(p, e));
       payloads.add(payload);
       offset += DurableFile.record(payload).remaining();
@@ -203,60 +204,60 @@
   }
 
   @Override
-  public void append(List<LogEntry> more) {
+  public void append(List<LogEntry> newEntries) {
     try {
       long offset = channel.position();
-      for (LogEntry e : more) {
-        ByteBuffer bytes = DurableFile.record(encode(p -> ConsensusCodec.packEntry(p, e)));
+      for (LogEntry entry : newEntries) {
+        ByteBuffer bytes = DurableFile.record(encode(p -> ConsensusCodec.packEntry(p, entry)));
         offset += bytes.remaining();
         DurableFile.writeFully(channel, bytes);
         endOffsets.add(offset);
       }
       sync.force(channel);
-      entries.addAll(more);
-    } catch (IOException e) {
-      throw new UncheckedIOException("appending to the configuration log failed", e);
+      entries.addAll(newEntries);
+    } catch (IOException entry) {
+      throw new UncheckedIOException("appending to the configuration log failed", entry);
     }
   }
 
   @Override
   public void truncateFrom(long index) {
-    int keep = (int) (index - snapshot.lastIndex() - 1);
+    int retainedCount = (int) (index - snapshot.lastIndex() - 1);
     try {
-      channel.truncate(keep == 0 ? 0 : endOffsets.get(keep - 1));
+      channel.truncate(retainedCount == 0 ? 0 : endOffsets.get(retainedCount - 1));
       channel.position(channel.size());
       sync.force(channel);
     } catch (IOException e) {
       throw new UncheckedIOException("truncating the configuration log failed", e);
     }
-    entries.subList(keep, entries.size()).clear();
-    endOffsets.subList(keep, endOffsets.size()).clear();
+    entries.subList(retainedCount, entries.size()).clear();
+    endOffsets.subList(retainedCount, endOffsets.size()).clear();
   }
 
   @Override
-  public void compact(Snapshot newer, List<LogEntry> tail) {
+  public void compact(Snapshot newSnapshot, List<LogEntry> tail) {
     try {
-      byte[] payload = encode(p -> ConsensusCodec.packSnapshot(p, newer));
+      byte[] payload = encode(p -> ConsensusCodec.packSnapshot(p, newSnapshot));
       DurableFile.replace(dataDir.resolve(SNAPSHOT_FILE), List.of(payload), sync);
       rewrite(tail);
     } catch (IOException e) {
       throw new UncheckedIOException("compacting the configuration log failed", e);
     }
-    snapshot = newer;
+    snapshot = newSnapshot;
     entries.clear();
     entries.addAll(tail);
   }
 
-  private static byte[] encode(Packing packing) throws IOException {
+  private static byte[] encode(PackFunction packFunction) throws IOException {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-      packing.pack(packer);
+      packFunction.pack(packer);
       return packer.toByteArray();
     }
   }
 
-  private static <T> T decode(byte[] payload, Unpacking<T> unpacking) throws IOException {
+  private static <T> T decode(byte[] payload, UnpackFunction<T> unpackFunction) throws IOException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(payload)) {
-      return unpacking.unpack(unpacker);
+      return unpackFunction.unpack(unpacker);
     }
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ExtraSends.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ExtraSends.java
@@ -9,15 +9,16 @@
 import org.lacewingcroft.metrics.GatewayMetrics;
 
 /**
- * Allows sends of idempotent requests beyond the first, after a failure (retry) or a long wait
- * (hedge), bounded by attempts, the caller's deadline and the {@link RetryBudget}.
+ * Decides whether an idempotent request may be sent again, after a failure (retry) or a long wait
+ * (hedge). Extra sends are bounded by the number of attempts, the caller's deadline and the {@link
+ * RetryBudget}.
  */
 final class ExtraSends {
-  /** Sends of one request at most, the first included. */
-  static final int MAX_SENDS = 4;
+  /** The maximum number of attempts per request, including the first. */
+  static final int MAX_ATTEMPTS = 4;
 
-  private static final double RETRY_SHARE = 0.1;
-  private static final int RETRY_RESERVE = 20;
+  private static final double RETRY_BUDGET_SHARE = 0.1;
+  private static final int RETRY_BUDGET_RESERVE = 20;
   private static final Backoff BACKOFF = new Backoff(Duration.ofMillis(20), Duration.ofMillis(400));
 
   private final InstantSource clock;
@@ -27,40 +28,49 @@
   ExtraSends(InstantSource clock, GatewayMetrics metrics) {
     this.clock = clock;
     this.metrics = metrics;
-    this.budget = new RetryBudget(RETRY_SHARE, RETRY_RESERVE, clock.instant());
+    this.budget = new RetryBudget(RETRY_BUDGET_SHARE, RETRY_BUDGET_RESERVE, clock.instant());
   }
 
-  /** Notes a request sent for the first time. */
-  void firstSend() {
+  /** Records the first send of a request, which adds to the retry budget. */
+  void recordFirstSend() {
     budget.deposit(clock.instant());
   }
 
-  /** Returns the pause before the next send after a failure, or empty if there must be none. */
-  Optional<Duration> retryPause(Exchange exchange) {
-    Duration pause = BACKOFF.delay(exchange.sends(), ThreadLocalRandom.current());
+  /**
+   * Takes a retry from the budget after a failure, if a retry is allowed.
+   *
+   * @return the backoff delay before the retry; empty if no retry is allowed
+   */
+  Optional<Duration> tryTakeRetry(Exchange exchange) {
+    Duration delay = BACKOFF.delay(exchange.attemptCount(), ThreadLocalRandom.current());
     boolean allowed =
         exchange.request().idempotent()
-            && !exchange.answered()
-            && exchange.sends() < MAX_SENDS
-            && pause.compareTo(exchange.remaining(clock.instant())) < 0
+            && !exchange.responseCommitted()
+            && exchange.attemptCount() < MAX_ATTEMPTS
+            && delay.compareTo(exchange.remaining(clock.instant())) < 0
             && budget.tryWithdraw(clock.instant());
     if (!allowed) {
       return Optional.empty();
     }
-    metrics.retries.labelValues("retry").inc();
-    return Optional.of(pause);
+    metrics.extraSends.labelValues("retry").inc();
+    return Optional.of(delay);
   }
 
-  /** Returns whether a request that still waits for its answer may be hedged now. */
-  boolean mayHedge(Exchange exchange) {
+  /**
+   * Takes a hedge from the budget for a request that still waits for its response, if a hedge is
+   * allowed.
+   *
+   * @return whether the request may be hedged now
+   */
+  boolean tryTakeHedge(Exchange exchange) {
     boolean allowed =
         exchange.request().idempotent()
-            && !exchange.answered()
+            && !exchange.responseCommitted()
             && exchange.hasLiveAttempt()
-            && exchange.sends() == 1
+            && exchange.attemptCount() == 1
             && budget.tryWithdraw(clock.instant());
     if (allowed) {
-      metrics.retries.labelValues("hedge").inc();
+      metrics.extraSends.labelValues("hedge").inc();
     }
     return allowed;
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RegionView.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RegionView.java
@@ -21,26 +21,27 @@
 import org.lacewingcroft.routing.RegionSummary;
 
 /**
- * What this entry knows by itself: its requests in flight, the prompt prefixes it sent lately, and
- * what the entries of other regions reported of their capacity.
+ * Provides the data for routing that this entry has besides endpoint announcements: its own
+ * requests in flight, the prompt prefixes that it sent recently, and the capacity that the entries
+ * of other regions reported.
  */
 final class RegionView implements GatewayView {
-  private static final int PREFIXES_KEPT = 4_096;
+  private static final int MAX_TRACKED_PREFIXES = 4_096;
 
   private final String region;
   private final EndpointRegistry endpoints;
   private final Membership membership;
-  private final InFlight inFlight;
+  private final InFlightCounters inFlight;
   private final EndpointHealth health;
   private final InstantSource clock;
   private final Map<String, String> lastEndpointByPrefix =
-      Collections.synchronizedMap(BoundedMap.evictingLeastRecentlyUsed(PREFIXES_KEPT));
+      Collections.synchronizedMap(BoundedMap.evictingLeastRecentlyUsed(MAX_TRACKED_PREFIXES));
 
   RegionView(
       String region,
       EndpointRegistry endpoints,
       Membership membership,
-      InFlight inFlight,
+      InFlightCounters inFlight,
       EndpointHealth health,
       InstantSource clock) {
     this.region = region;
@@ -51,27 +52,27 @@
     this.clock = clock;
   }
 
-  /** Returns this region's free capacity by model, as this entry sees it. */
+  /** Returns this region's free capacity by model, as estimated by this entry. */
   Map<String, Integer> freeSlotsByModel() {
     Map<String, Integer> free = new HashMap<>();
     Instant now = clock.instant();
     Set<String> paused = health.paused(now).keySet();
-    for (Endpoint e : endpoints.snapshot().all()) {
-      if (e.region().equals(region) && e.acceptsWork(now)) {
-        int used =
-            paused.contains(e.id())
-                ? e.capacity()
-                : new Candidate(e, inFlight.to(e.id()), false).estimatedLoad();
-        for (String model : e.models()) {
-          free.merge(model, Math.max(0, e.capacity() - used), Integer::sum);
+    for (Endpoint endpoint : endpoints.snapshot().all()) {
+      if (endpoint.region().equals(region) && endpoint.acceptsWork(now)) {
+        int load =
+            paused.contains(endpoint.id())
+                ? endpoint.capacity()
+                : new Candidate(endpoint, inFlight.countTo(endpoint.id()), false).estimatedLoad();
+        for (String model : endpoint.models()) {
+          free.merge(model, Math.max(0, endpoint.capacity() - load), Integer::sum);
         }
       }
     }
     return free;
   }
 
-  /** Returns the regions known from membership and endpoints, this one included. */
-  Set<String> known() {
+  /** Returns the regions known from membership and endpoints, including this one. */
+  Set<String> knownRegions() {
     Set<String> regions =
         membership.table().all().stream().map(m -> m.info().region()).collect(Collectors.toSet());
     regions.add(region);
@@ -79,8 +80,8 @@
     return regions;
   }
 
-  /** Notes that a request with this prompt prefix goes to an endpoint. */
-  void sent(String endpointId, String prefix) {
+  /** Records that a request with this prompt prefix is being sent to an endpoint. */
+  void recordSentPrefix(String endpointId, String prefix) {
     if (!prefix.isEmpty()) {
       lastEndpointByPrefix.put(PrefixHash.of(prefix), endpointId);
     }
@@ -93,10 +94,13 @@
 
   @Override
   public int inFlightTo(String endpointId) {
-    return inFlight.to(endpointId);
+    return inFlight.countTo(endpointId);
   }
 
-  /** Returns what the live entries of the other regions reported, one summary a region. */
+  /**
+   * Returns one summary per other region: for each model, the largest free capacity that a live
+   * entry of the region reported.
+   */
   @Override
   public List<RegionSummary> otherRegions() {
     Map<String, Map<String, Integer>> byRegion = new HashMap<>();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/Membership.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/Membership.java
@@ -14,8 +14,8 @@
 import org.lacewingcroft.membership.MemberTable;
 
 /**
- * The membership of one daemon: gossips in every interval as its {@link Gossiper} decides, and
- * keeps what it hears as an immutable {@link MemberTable} behind an {@link AtomicReference}.
+ * The membership of one daemon: sends gossip in every interval as its {@link Gossiper} decides, and
+ * records received gossip in an immutable {@link MemberTable} behind an {@link AtomicReference}.
  */
 public final class Membership {
   private static final System.Logger LOG = System.getLogger(Membership.class.getName());
@@ -26,17 +26,17 @@
   private final Gossiper gossiper;
   private final Random random = new Random();
   private final Duration interval;
-  private final AtomicReference<Optional<Instant>> firstHeardAt =
+  private final AtomicReference<Optional<Instant>> firstGossipAt =
       new AtomicReference<>(Optional.empty());
-  private final AtomicReference<Optional<Instant>> lastBeatAt =
+  private final AtomicReference<Optional<Instant>> lastRoundAt =
       new AtomicReference<>(Optional.empty());
   private final AtomicReference<MemberTable> table;
 
   /**
    * Creates the membership of one daemon.
    *
-   * @param self how this daemon describes itself
-   * @param seeds peer addresses to gossip to before anything is known
+   * @param self the description of this daemon
+   * @param seeds peer addresses to gossip to before any member is known
    * @param transport the peer transport
    * @param clock the time source
    * @param interval the gossip interval
@@ -66,70 +66,74 @@
   }
 
   /**
-   * Records gossip received from a peer, and answers one that looks for members of its region.
+   * Records gossip received from a peer, and replies to a peer that requests members of its region.
    *
-   * @param configVersion the version in force here
+   * @param configVersion the configuration version that is active on this daemon
    */
   public void onGossip(PeerMessage.Gossip gossip, long configVersion) {
-    MemberTable current = table.updateAndGet(t -> t.heard(gossip, clock.instant()));
-    firstHeardAt.updateAndGet(seen -> seen.or(() -> Optional.of(clock.instant())));
+    MemberTable current = table.updateAndGet(t -> t.withGossip(gossip, clock.instant()));
+    firstGossipAt.updateAndGet(recorded -> recorded.or(() -> Optional.of(clock.instant())));
     gossiper
-        .answer(gossip, configVersion, current)
-        .ifPresent(answer -> transport.send(answer.address(), answer.gossip()));
+        .respond(gossip, configVersion, current)
+        .ifPresent(reply -> transport.send(reply.address(), reply.gossip()));
   }
 
   /**
-   * Returns whether this daemon has taken part without a break for long enough to know its region's
-   * members. Until then it must not take itself for the only one responsible for anything.
+   * Returns whether this daemon has exchanged gossip without interruption for long enough to know
+   * the members of its region. Until then it must not assume that it alone is responsible for
+   * anything.
    */
   public boolean converged() {
-    return !brokeOff()
-        && firstHeardAt
+    return !isStalled()
+        && firstGossipAt
             .get()
-            .filter(first -> !first.plus(suspicionTime()).isAfter(clock.instant()))
+            .filter(first -> !first.plus(suspicionTimeout()).isAfter(clock.instant()))
             .isPresent();
   }
 
   /**
-   * Returns whether this daemon has not run for so long that others suspect it, as when its
-   * instance is frozen.
+   * Returns whether this daemon has sent no gossip for so long that others suspect it, such as when
+   * its instance was frozen.
    */
-  private boolean brokeOff() {
-    return lastBeatAt
+  private boolean isStalled() {
+    return lastRoundAt
         .get()
-        .filter(at -> at.plus(suspicionTime()).isBefore(clock.instant()))
+        .filter(at -> at.plus(suspicionTimeout()).isBefore(clock.instant()))
         .isPresent();
   }
 
-  private Duration suspicionTime() {
-    return interval.multipliedBy(MemberTable.suspectIntervals(table().followed().size() + 1));
+  private Duration suspicionTimeout() {
+    return interval.multipliedBy(MemberTable.suspicionTimeoutIntervals(table().trackedMembers().size() + 1));
   }
 
   /** Sends this interval's gossip. */
-  public void beat(Gossiper.SelfReport report) {
-    if (brokeOff()) {
-      startAnew();
+  public void sendRound(Gossiper.SelfReport report) {
+    if (isStalled()) {
+      resetAfterStall();
     }
-    lastBeatAt.set(Optional.of(clock.instant()));
+    lastRoundAt.set(Optional.of(clock.instant()));
     MemberTable current = table.updateAndGet(t -> t.withoutDead(clock.instant()));
-    for (Gossiper.Outgoing message : gossiper.round(report, current, clock.instant())) {
+    for (Gossiper.Outgoing message : gossiper.nextMessages(report, current, clock.instant())) {
       transport.send(message.address(), message.gossip());
     }
   }
 
-  /** After a break, judges the others' silence from now on and settles again. */
-  private void startAnew() {
+  /**
+   * Restarts failure detection after a stall: the time without heartbeats of every other member is
+   * measured from now on, and this daemon has to converge again.
+   */
+  private void resetAfterStall() {
     LOG.log(System.Logger.Level.WARNING, "membership.broke_off", "node", self.nodeId());
-    firstHeardAt.set(Optional.empty());
-    table.updateAndGet(t -> t.allHeardAt(clock.instant()));
+    firstGossipAt.set(Optional.empty());
+    table.updateAndGet(t -> t.withAllSeenAt(clock.instant()));
   }
 
-  /** Returns the peer address of a member, if it is known. */
+  /** Returns the peer address of a member, or empty if it is unknown. */
   public Optional<String> addressOf(String nodeId) {
     return table.get().get(nodeId).map(m -> m.info().peerAddress());
   }
 
-  /** Returns the region of the member that listens on a peer address, if it is known. */
+  /** Returns the region of the member with a peer address, or empty if it is unknown. */
   public Optional<String> regionOf(String peerAddress) {
     return table.get().all().stream()
         .map(Member::info)
@@ -143,36 +147,36 @@
     transport.send(peerAddress, message);
   }
 
-  /** Sends a message to the entries known in this daemon's region. */
+  /** Sends a message to the known entries of this daemon's region. */
   public void sendToRegionEntries(PeerMessage message) {
-    for (Member m : table.get().known(MemberInfo.ENTRY, self.region())) {
+    for (Member m : table.get().membersOf(MemberInfo.ENTRY, self.region())) {
       transport.send(m.info().peerAddress(), message);
     }
   }
 
   /**
-   * Spreads a message as a rumour: to a few random members of the region, and to one contact of
-   * each other region if asked to.
+   * Spreads a message by gossip: sends it to {@link Gossiper#FANOUT} random members of the region
+   * and, optionally, to one random member of each other region.
    *
-   * @param acrossRegions whether other regions are told too
+   * @param acrossRegions whether to send the message to other regions too
    */
   public void sendToRandomMembers(PeerMessage message, boolean acrossRegions) {
     List<Member> inRegion = new ArrayList<>();
-    List<Member> elsewhere = new ArrayList<>();
+    List<Member> inOtherRegions = new ArrayList<>();
     table
         .get()
         .all()
-        .forEach(m -> (m.info().region().equals(self.region()) ? inRegion : elsewhere).add(m));
+        .forEach(m -> (m.info().region().equals(self.region()) ? inRegion : inOtherRegions).add(m));
     Collections.shuffle(inRegion, random);
     inRegion.stream()
         .limit(Gossiper.FANOUT)
         .forEach(m -> transport.send(m.info().peerAddress(), message));
     if (acrossRegions) {
-      List<String> told = new ArrayList<>();
-      Collections.shuffle(elsewhere, random);
-      for (Member m : elsewhere) {
-        if (!told.contains(m.info().region())) {
-          told.add(m.info().region());
+      List<String> reachedRegions = new ArrayList<>();
+      Collections.shuffle(inOtherRegions, random);
+      for (Member m : inOtherRegions) {
+        if (!reachedRegions.contains(m.info().region())) {
+          reachedRegions.add(m.info().region());
           transport.send(m.info().peerAddress(), message);
         }
       }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/StreamReplayTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/StreamReplayTest.java
@@ -13,16 +13,25 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Long answers while some engines read prompts most of the time: their first bytes come early
- * everywhere, and the tokens after them only where little is read.
+ * Long responses while some engines prefill prompts most of the time: their first bytes arrive
+ * early from every engine, but the tokens after them arrive fast only from engines with little
+ * prefill load.
  */
 class StreamReplayTest {
-  private static final Duration LENGTH = Duration.ofSeconds(40);
-  private static final double MEAN_TOKENS = 60;
+  private static final Duration DURATION = Duration.ofSeconds(40);
+  private static final double MEAN_OUTPUT_TOKENS = 60;
 
-  /** A row: what others have each engine read, and which share of answers must end in time. */
+  /**
+   * A test case: the prompt tokens a millisecond that other callers send to each engine, the rate
+   * of requests a second, the minimum share of responses that end in time, and the maximum share
+   * with the time per output token disabled.
+   */
   record Row(
-      String name, List<Double> foreign, double perSecond, double least, double mostWithout) {
+      String name,
+      List<Double> foreignTokensPerMilli,
+      double requestsPerSecond,
+      double minOnTimeShare,
+      double maxOnTimeShareWithout) {
     @Override
     public String toString() {
       return name;
@@ -31,25 +40,26 @@
 
   static Stream<Row> rows() {
     return Stream.of(
-        new Row("all engines free", List.of(0.0, 0.0), 60, 0.99, 1),
-        new Row("one of two reads always", List.of(45.0, 0.0), 60, 0.97, 0.95),
-        new Row("two of three read always", List.of(45.0, 45.0, 0.0), 60, 0.95, 0.9));
+        new Row("no engine has other load", List.of(0.0, 0.0), 60, 0.99, 1),
+        new Row("one of two engines always prefills", List.of(45.0, 0.0), 60, 0.97, 0.95),
+        new Row("two of three engines always prefill", List.of(45.0, 45.0, 0.0), 60, 0.95, 0.9));
   }
 
   @ParameterizedTest
   @MethodSource("rows")
-  void answersEndInTimeWhereTokensComeFast(Row row) {
-    assertThat(share(row, Set.of()), greaterThanOrEqualTo(row.least()));
+  void responsesEndInTime(Row row) {
+    assertThat(onTimeShare(row, Set.of()), greaterThanOrEqualTo(row.minOnTimeShare()));
   }
 
   @ParameterizedTest
   @MethodSource("rows")
-  void byFirstBytesAloneFewerDo(Row row) {
-    double without = share(row, EnumSet.of(PlacementMechanism.TOKEN_PACE));
-    assertThat(without, lessThanOrEqualTo(row.mostWithout()));
+  void fewerResponsesEndInTimeByFirstByteAlone(Row row) {
+    double onTimeShareWithout = onTimeShare(row, EnumSet.of(PlacementMechanism.TOKEN_PACE));
+    assertThat(onTimeShareWithout, lessThanOrEqualTo(row.maxOnTimeShareWithout()));
   }
 
-  private static double share(Row row, Set<PlacementMechanism> off) {
-    return new StreamReplay(row.foreign(), off, 7).run(row.perSecond(), MEAN_TOKENS, LENGTH);
+  private static double onTimeShare(Row row, Set<PlacementMechanism> disabled) {
+    return new StreamReplay(row.foreignTokensPerMilli(), disabled, 7)
+        .run(row.requestsPerSecond(), MEAN_OUTPUT_TOKENS, DURATION);
   }
 }
