--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/RateLimitedEndpointTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/RateLimitedEndpointTest.java
@@ -25,7 +25,7 @@
   private static final Duration BEFORE_STATED = Duration.ofMillis(500);
   private static final Duration RECOVERY = Duration.ofSeconds(15);
 
-  /** Window in which at most {@link #OVERSHOOT} times the allowed requests plus {@link #SLACK} arrive. */
+  /** Window in which at most {@link #OVERSHOOT} times the advertised rate plus {@link #SLACK} requests arrive. */
   private static final long WINDOW_MILLIS = 4_000;
 
   private static final double OVERSHOOT = 1.5;
