--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/EntryServer.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/EntryServer.java
@@ -344,7 +344,7 @@
           body ->
               new ForwardCall(
                       context,
-                      reader.read(request, body, handling, arrivedAt, /* keysNeeded= */ false),
+                      reader.read(request, body, handling, arrivedAt, /* dropApiKey= */ false),
                       response,
                       true,
                       QuotaCharge.none(node.quotas()))
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
@@ -450,7 +450,7 @@
     private void recordEvents(long count) {
       if (count > 0) {
         long tokens = count * context.tokensPerEvent(request.handling().service());
-        upstream.target().inFlightRequest().ifPresent(t -> t.eventsReceived(tokens, context.now()));
+        upstream.target().inFlightRequest().ifPresent(r -> r.eventsReceived(tokens, context.now()));
       }
     }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/Handling.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/Handling.java
@@ -16,7 +16,7 @@
  *
  * @param route the name of the route
  * @param service the service that runs the request
- * @param kind whether the request may run more than once
+ * @param kind whether the request may run more than once, and whether the response is a stream
  * @param resumable whether a broken stream may be resumed at another endpoint
  * @param priority the priority in the queues of the service, 0 is the most urgent
  * @param maxAttempts how many endpoints may run the request
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/RequestLog.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/RequestLog.java
@@ -183,7 +183,7 @@
         "lastEvent",
         orNone(lastEvent),
         "sentMillisAgo",
-        target.inFlightRequest().map(t -> Duration.between(t.sentAt(), now).toMillis()).orElse(-1L),
+        target.inFlightRequest().map(r -> Duration.between(r.sentAt(), now).toMillis()).orElse(-1L),
         "running",
         endpoint.map(e -> e.allRunning(now)).orElse(-1),
         "cold",
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/UpstreamAttempt.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/UpstreamAttempt.java
@@ -115,7 +115,7 @@
 
   private void withdraw() {
     finished = true;
-    target.inFlightRequest().ifPresent(t -> t.finish(Outcome.NOT_RUN, clock.instant()));
+    target.inFlightRequest().ifPresent(r -> r.finish(Outcome.NOT_RUN, clock.instant()));
     listener.onWithdrawn();
   }
 
@@ -161,12 +161,12 @@
       return;
     }
     response = Optional.of(received);
-    target.inFlightRequest().ifPresent(t -> t.bytesReceived(clock.instant()));
+    target.inFlightRequest().ifPresent(r -> r.bytesReceived(clock.instant()));
     received.exceptionHandler(e -> fail(true, Outcome.FAILED, "broke off: " + e.getMessage()));
     received.handler(
         chunk -> {
           if (!finished) {
-            target.inFlightRequest().ifPresent(t -> t.bytesReceived(clock.instant()));
+            target.inFlightRequest().ifPresent(r -> r.bytesReceived(clock.instant()));
             listener.onBody(chunk);
           }
         });
@@ -182,8 +182,8 @@
     boolean notRun = received.getHeader(headerNames.notRun()) != null || received.statusCode() == 421;
     Outcome outcome =
         notRun ? Outcome.NOT_RUN : received.statusCode() >= 500 ? Outcome.FAILED : Outcome.ANSWERED;
-    target.inFlightRequest().ifPresent(t -> t.finish(outcome, clock.instant()));
-    connection.ifPresent(l -> releaseConnection(l, received));
+    target.inFlightRequest().ifPresent(r -> r.finish(outcome, clock.instant()));
+    connection.ifPresent(pooled -> releaseConnection(pooled, received));
     listener.onComplete();
   }
 
@@ -221,7 +221,7 @@
   void cancel(Outcome outcome) {
     if (!finished) {
       finished = true;
-      target.inFlightRequest().ifPresent(t -> t.finish(outcome, clock.instant()));
+      target.inFlightRequest().ifPresent(r -> r.finish(outcome, clock.instant()));
       connection.ifPresent(UpstreamConnections.PooledConnection::close);
     }
   }
@@ -231,7 +231,7 @@
       return;
     }
     finished = true;
-    target.inFlightRequest().ifPresent(t -> t.finish(outcome, clock.instant()));
+    target.inFlightRequest().ifPresent(r -> r.finish(outcome, clock.instant()));
     connection.ifPresent(UpstreamConnections.PooledConnection::close);
     listener.onFailure(sent && requestWritten, detail);
   }
