--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/ForwardingTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/ForwardingTest.java
@@ -30,7 +30,10 @@
 /** Checks the response to the caller and the number of sends for various endpoint failures. */
 class ForwardingTest {
   private static final String EVENTS = "id: 1\ndata: e1\n\nid: 2\ndata: e2\n\nid: 3\ndata: e3\n\n";
+
+  /** The status of a test case in which the entry closes the connection within the response. */
   private static final int ABORTED = 0;
+
   private static final Duration ROUTE_TIMEOUT = Duration.ofSeconds(8);
 
   @TempDir private static Path folder;
@@ -162,7 +165,7 @@
         body = response.body();
       } catch (java.io.IOException aborted) {
         assertThat(
-            "only a test case with status CUT may abort the connection",
+            "only a test case with status ABORTED may abort the connection",
             testCase.status(),
             equalTo(ABORTED));
       }
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/QuarantineSpreadTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/QuarantineSpreadTest.java
@@ -31,7 +31,8 @@
 import org.lacewingcroft.route.RouteTable;
 
 /**
- * Checks which instances receive a quarantine, when it persists, and which content is not affected.
+ * Checks which instances receive a quarantine, that it survives restarts, and which content is not
+ * quarantined.
  */
 class QuarantineSpreadTest {
   private static final String SERVICE = "model";
@@ -180,7 +181,10 @@
     awaitServed(FaultyEndpoints.LONG);
   }
 
-  /** Crashes endpoints with the same content until the reports of all entries quarantine it. */
+  /**
+   * Crashes endpoints with the same content until the combined reports of all entries quarantine
+   * it.
+   */
   private void quarantine() throws Exception {
     Instant deadline = Instant.now().plus(AWAIT_TIMEOUT);
     while (endpoints.crashes() < CRASHES_TO_QUARANTINE && Instant.now().isBefore(deadline)) {
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/ScriptedEndpoints.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/ScriptedEndpoints.java
@@ -143,7 +143,7 @@
           socket
               .write(streamHead(signedHeaders) + chunk("id: 1\ndata: e1\n\nid: 2\nda"))
               .onComplete(v -> vertx.setTimer(50, t -> socket.close()));
-      default -> throw new IllegalStateException("no such act: " + action);
+      default -> throw new IllegalStateException("unknown action: " + action);
     }
   }
 
