--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/RelayTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/RelayTest.java
@@ -137,7 +137,7 @@
       }
       TimeUnit.MILLISECONDS.sleep(25);
     }
-    throw new AssertionError("the north has not received the load of " + service + " in the south");
+    throw new AssertionError("the north has not received the south's load of " + service);
   }
 
   private static HttpRequest request(String service, Duration timeout) {
