--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/CrashingRequestTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/CrashingRequestTest.java
@@ -81,7 +81,7 @@
     /** Waits for the response. */
     WAITS,
     /** Disconnects as soon as an endpoint has received the request. */
-    DISCONNECTS
+    LEAVES
   }
 
   /**
@@ -151,13 +151,7 @@
             Fault.SILENCE,
             CallerBehaviour.WAITS),
         new TestCase(
-            "left",
-            RouteKind.AT_MOST_ONCE,
-            false,
-            1,
-            north,
-            Fault.CRASH,
-            CallerBehaviour.DISCONNECTS),
+            "left", RouteKind.AT_MOST_ONCE, false, 1, north, Fault.CRASH, CallerBehaviour.LEAVES),
         new TestCase(
             "left-silent",
             RouteKind.STREAM,
@@ -165,7 +159,7 @@
             1,
             north,
             Fault.SILENCE,
-            CallerBehaviour.DISCONNECTS));
+            CallerBehaviour.LEAVES));
   }
 
   @BeforeAll
