--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
@@ -538,7 +538,7 @@
     @Override
     public void onWithdrawn() {
       if (!done) {
-        recordAttemptFailure(upstream, "withdrawn", "the endpoint takes no work any more");
+        recordAttemptFailure(upstream, "withdrawn", "the endpoint no longer accepts requests");
         excludeTarget(upstream);
         sendToAnotherTarget("the endpoint takes no work any more", true);
       }
@@ -595,7 +595,7 @@
    */
   private void handleRefusal(UpstreamAttempt attempt, int status, String refuser, int newRefusals) {
     refusalCount += newRefusals;
-    recordAttemptFailure(attempt, "refused", refuser + " answered " + status);
+    recordAttemptFailure(attempt, "refused", refuser + " responded with " + status);
     attempt
         .target()
         .endpoint()
