--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/ConsensusDriver.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/ConsensusDriver.java
@@ -129,7 +129,7 @@
       Output out = action.apply(steadyMillis());
       out.messages().forEach(m -> listener.send(m.to(), m.message()));
       listener.stepped(member, out.committed());
-      out.decisions().forEach(d -> decide(d.ticket(), d.result()));
+      out.decisions().forEach(d -> decide(d.proposalId(), d.result()));
     } catch (RuntimeException e) {
       LOG.log(System.Logger.Level.ERROR, "control.stopped", e);
       thread.shutdownNow();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/RoutingControl.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/RoutingControl.java
@@ -210,7 +210,7 @@
   /** Begins to replicate to an instance that is no member, if this one leads. */
   public void admit(String learner) {
     if (!view.members().contains(learner)) {
-      driver.later(now -> member.admit(learner, now));
+      driver.later(now -> member.addLearner(learner, now));
     }
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
@@ -19,7 +19,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
-import org.lacewingcroft.config.ConfigLearning;
+import org.lacewingcroft.config.ConfigReceiver;
 import org.lacewingcroft.config.ConfigStore;
 import org.lacewingcroft.control.ControlService;
 import org.lacewingcroft.error.ErrorKind;
@@ -31,7 +31,7 @@
 import org.lacewingcroft.http.StrictRequestDecoder;
 import org.lacewingcroft.membership.Gossiper;
 import org.lacewingcroft.metrics.GatewayMetrics;
-import org.lacewingcroft.misc.SteadyInstantSource;
+import org.lacewingcroft.misc.MonotonicInstantSource;
 import org.lacewingcroft.peer.FrameCodec;
 import org.lacewingcroft.peer.LinkFaults;
 import org.lacewingcroft.peer.MemberInfo;
@@ -51,11 +51,11 @@
   private static final int LINGER_HEARTBEATS = 4;
 
   private final Settings settings;
-  private final InstantSource clock = new SteadyInstantSource();
+  private final InstantSource clock = new MonotonicInstantSource();
   private final Vertx vertx;
   private final GatewayMetrics metrics = new GatewayMetrics();
   private final ConfigStore configs = new ConfigStore();
-  private final ConfigLearning learning;
+  private final ConfigReceiver learning;
   private final EndpointRegistry endpoints;
   private final PeerTransport transport;
   private volatile Membership membership;
@@ -70,7 +70,7 @@
     this.settings = settings;
     this.vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(4));
     configs.onApplied(this::spreadVersion);
-    this.learning = new ConfigLearning(configs, settings.heartbeatInterval().multipliedBy(3));
+    this.learning = new ConfigReceiver(configs, settings.heartbeatInterval().multipliedBy(3));
     this.endpoints = new EndpointRegistry(clock, settings.endpointLease());
     this.transport = new PeerTransport(vertx, new FrameCodec(settings.secret()));
   }
@@ -269,24 +269,24 @@
 
   /** Asks a peer for its configuration if it is newer than what this entry was offered. */
   private void newerVersionAt(String peerAddress, long version) {
-    if (settings.role() == Role.ENTRY && learning.heard(version, clock.instant())) {
+    if (settings.role() == Role.ENTRY && learning.onReportedVersion(version, clock.instant())) {
       transport.send(
           peerAddress,
           new PeerMessage.ConfigRequest(
-              learning.highestOffered(), membership.self().peerAddress()));
+              learning.highestOfferedVersion(), membership.self().peerAddress()));
     }
   }
 
   /** Sends a lagging peer the patches it lacks, or the whole document if they are not at hand. */
   private void answerConfigRequest(PeerMessage.ConfigRequest request) {
     ConfigStore.Applied current = configs.current();
-    if (current.version() <= request.haveVersion()) {
+    if (current.version() <= request.senderVersion()) {
       return;
     }
     PeerMessage answer =
         configs
-            .patchesSince(request.haveVersion())
-            .<PeerMessage>map(p -> new PeerMessage.ConfigPatches(request.haveVersion(), p))
+            .patchesSince(request.senderVersion())
+            .<PeerMessage>map(p -> new PeerMessage.ConfigPatches(request.senderVersion(), p))
             .orElseGet(() -> new PeerMessage.ConfigOffer(current.version(), current.document()));
     transport.send(request.replyTo(), answer);
   }
@@ -302,11 +302,11 @@
       newerVersionAt(notice.replyTo(), notice.version());
     } else if (message instanceof PeerMessage.ConfigOffer offer) {
       if (settings.role() == Role.ENTRY) {
-        learning.offered(offer.version(), offer.document(), clock.instant());
+        learning.onOffer(offer.version(), offer.document(), clock.instant());
       }
     } else if (message instanceof PeerMessage.ConfigPatches offer) {
       if (settings.role() == Role.ENTRY) {
-        learning.offeredPatches(offer.baseVersion(), offer.patches());
+        learning.onPatches(offer.baseVersion(), offer.patches());
       }
     } else if (message instanceof PeerMessage.ConfigRequest request) {
       answerConfigRequest(request);
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
@@ -133,7 +133,7 @@
     this.startedAt = clock.instant();
     this.seeds = settings.seedPeers();
     this.transport = new FleetTransport(context, settings);
-    metrics.expose(transport.traffic());
+    metrics.registerPeerTraffic(transport.traffic());
     this.leaving = new LeavingConfirmations(vertx, settings.peerAddress(), transport);
     this.aggregator =
         new UpdateAggregator(
@@ -303,7 +303,7 @@
    * @param most how many addresses it takes
    */
   public List<String> entriesFor(String host, String region, int most) {
-    return DirectoryChoice.of(readyEntries(), region, routes().homesOf(host), most);
+    return DirectoryChoice.of(readyEntries(), region, routes().homeRegionsOf(host), most);
   }
 
   /** Returns the routes in force, read anew only when their version has changed. */
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetTransport.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetTransport.java
@@ -49,7 +49,7 @@
   private void handle(PeerMessage.Fleet fleet, Consumer<FleetMessage> onFleet) {
     long begunNanos = System.nanoTime();
     onFleet.accept(fleet.message());
-    transport.traffic().handled(fleet, System.nanoTime() - begunNanos);
+    transport.traffic().recordHandling(fleet, System.nanoTime() - begunNanos);
   }
 
   /** Returns what the messages cost by kind. */
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixExchange.java
@@ -119,7 +119,7 @@
     EndpointRecord record = tracker.record();
     return settings.inOwnRegion(record.failureDomain())
         && record.state() == EndpointState.READY
-        && engineOfService.apply(record.service()).filter(ServiceSpec.Engine::fetches).isPresent()
+        && engineOfService.apply(record.service()).filter(ServiceSpec.Engine::supportsKvFetch).isPresent()
         && asked.add(record.id());
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/EntryServer.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/EntryServer.java
@@ -218,7 +218,7 @@
 
   private Handling handlingOf(Route route, CallerAccess.Granted access)
       throws CallerAccess.NoRegionException {
-    String service = route.pick(ThreadLocalRandom.current().nextDouble());
+    String service = route.pickService(ThreadLocalRandom.current().nextDouble());
     return Handling.of(
         route,
         service,
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
@@ -669,7 +669,7 @@
   }
 
   private void recordAttemptFailure(UpstreamAttempt attempt, String failure, String detail) {
-    context.metrics().triesFailed.labelValues(failure).inc();
+    context.metrics().failedAttempts.labelValues(failure).inc();
     requestLog.logAttemptFailed(attempt.target(), failure, detail, lastEventId, context.now());
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/EndpointRegistry.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/EndpointRegistry.java
@@ -69,7 +69,7 @@
 
   /** Adds or renews an endpoint relayed by a peer; its lease runs from now on this clock. */
   public void renew(Endpoint endpoint) {
-    put(endpoint.leasedUntil(clock.instant().plus(lease)));
+    put(endpoint.withLeaseExpiry(clock.instant().plus(lease)));
   }
 
   private void put(Endpoint endpoint) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ExtraSends.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ExtraSends.java
@@ -47,7 +47,7 @@
     if (!allowed) {
       return Optional.empty();
     }
-    metrics.retries.labelValues("retry").inc();
+    metrics.extraSends.labelValues("retry").inc();
     return Optional.of(pause);
   }
 
@@ -60,7 +60,7 @@
             && exchange.sends() == 1
             && budget.tryWithdraw(clock.instant());
     if (allowed) {
-      metrics.retries.labelValues("hedge").inc();
+      metrics.extraSends.labelValues("hedge").inc();
     }
     return allowed;
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/KeyOwnership.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/KeyOwnership.java
@@ -186,7 +186,7 @@
 
   /** Returns the key's replicas without this daemon, suspect members included. */
   private List<MemberInfo> otherReplicas(String key) {
-    return replicasAmong(membership.table().known(MemberInfo.ENTRY, region()), key).stream()
+    return replicasAmong(membership.table().membersOf(MemberInfo.ENTRY, region()), key).stream()
         .filter(r -> !r.nodeId().equals(self.nodeId()))
         .toList();
   }
@@ -218,7 +218,7 @@
       Optional.ofNullable(pending.get(reply.callId()))
           .ifPresent(
               claim ->
-                  reply.held().ifPresentOrElse(claim::denied, () -> claim.granted(reply.from())));
+                  reply.existing().ifPresentOrElse(claim::denied, () -> claim.granted(reply.from())));
     }
   }
 
@@ -227,7 +227,7 @@
    */
   public synchronized void expireAndHandOver() {
     table.expire(clock.instant());
-    List<Member> members = membership.table().known(MemberInfo.ENTRY, region());
+    List<Member> members = membership.table().membersOf(MemberInfo.ENTRY, region());
     Set<String> peers = new HashSet<>();
     members.forEach(m -> peers.add(m.info().nodeId() + "/" + m.info().incarnation()));
     if (peers.equals(knownPeers)) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RegionView.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RegionView.java
@@ -55,9 +55,9 @@
   Map<String, Integer> freeSlotsByModel() {
     Map<String, Integer> free = new HashMap<>();
     Instant now = clock.instant();
-    Set<String> paused = health.paused(now).keySet();
+    Set<String> paused = health.remainingPauses(now).keySet();
     for (Endpoint e : endpoints.snapshot().all()) {
-      if (e.region().equals(region) && e.acceptsWork(now)) {
+      if (e.region().equals(region) && e.acceptsRequests(now)) {
         int used =
             paused.contains(e.id())
                 ? e.capacity()
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RouteChooser.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RouteChooser.java
@@ -49,8 +49,8 @@
   RouteDecision choose(Exchange exchange) {
     Instant now = clock.instant();
     Set<String> mustPassOver = new HashSet<>(exchange.passedOver());
-    mustPassOver.addAll(health.paused(now).keySet());
-    Set<String> passedOver = new HashSet<>(health.isInBackoff(now));
+    mustPassOver.addAll(health.remainingPauses(now).keySet());
+    Set<String> passedOver = new HashSet<>(health.endpointsInBackoff(now));
     passedOver.addAll(mustPassOver);
     RouteDecision decision = route(exchange, passedOver);
     boolean refused = decision instanceof RouteDecision.Refuse;
@@ -61,7 +61,7 @@
 
   /** Returns how long until the first endpoint takes requests again that asked for a pause. */
   Optional<Duration> pauseLeft(Exchange exchange) {
-    Map<String, Duration> paused = health.paused(clock.instant());
+    Map<String, Duration> paused = health.remainingPauses(clock.instant());
     return endpoints.snapshot().serving(exchange.request().model()).stream()
         .map(Endpoint::id)
         .flatMap(id -> Optional.ofNullable(paused.get(id)).stream())
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/metrics/GatewayMetrics.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/metrics/GatewayMetrics.java
@@ -27,7 +27,7 @@
           .register(registry);
 
   /** Sends beyond a request's first, by reason: retry, hedge. */
-  public final Counter retries =
+  public final Counter extraSends =
       Counter.builder()
           .name("lwc_extra_sends_total")
           .help("Sends beyond a request's first, by reason")
@@ -102,7 +102,7 @@
           .register(registry);
 
   /** Tries that did not bring an answer, by what the target did. */
-  public final Counter triesFailed =
+  public final Counter failedAttempts =
       Counter.builder()
           .name("lwc_tries_failed_total")
           .help("Tries without an answer, by what the target did")
@@ -133,7 +133,7 @@
           .register(registry);
 
   /** Exposes what the messages between instances cost, by kind. */
-  public void expose(PeerTraffic traffic) {
+  public void registerPeerTraffic(PeerTraffic traffic) {
     exposeByDirection(
         "lwc_peer_messages_total",
         "Messages between instances by kind and direction",
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/LoopbackPorts.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/LoopbackPorts.java
@@ -32,8 +32,8 @@
    *
    * @throws IOException if none is found
    */
-  public static int free() throws IOException {
-    return neighbours(1);
+  public static int allocatePort() throws IOException {
+    return allocateConsecutivePorts(1);
   }
 
   /**
@@ -43,7 +43,7 @@
    * @param count how many neighbours
    * @throws IOException if none are found
    */
-  public static synchronized int neighbours(int count) throws IOException {
+  public static synchronized int allocateConsecutivePorts(int count) throws IOException {
     for (int i = 0; i < TRIES; i++) {
       int first = ThreadLocalRandom.current().nextInt(LOWEST, END - count + 1);
       if (areFree(first, count)) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/Membership.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/Membership.java
@@ -71,10 +71,10 @@
    * @param configVersion the version in force here
    */
   public void onGossip(PeerMessage.Gossip gossip, long configVersion) {
-    MemberTable current = table.updateAndGet(t -> t.heard(gossip, clock.instant()));
+    MemberTable current = table.updateAndGet(t -> t.withGossip(gossip, clock.instant()));
     firstHeardAt.updateAndGet(seen -> seen.or(() -> Optional.of(clock.instant())));
     gossiper
-        .answer(gossip, configVersion, current)
+        .respond(gossip, configVersion, current)
         .ifPresent(answer -> transport.send(answer.address(), answer.gossip()));
   }
 
@@ -102,7 +102,7 @@
   }
 
   private Duration suspicionTime() {
-    return interval.multipliedBy(MemberTable.suspectIntervals(table().followed().size() + 1));
+    return interval.multipliedBy(MemberTable.suspicionTimeoutIntervals(table().trackedMembers().size() + 1));
   }
 
   /** Sends this interval's gossip. */
@@ -112,7 +112,7 @@
     }
     lastBeatAt.set(Optional.of(clock.instant()));
     MemberTable current = table.updateAndGet(t -> t.withoutDead(clock.instant()));
-    for (Gossiper.Outgoing message : gossiper.round(report, current, clock.instant())) {
+    for (Gossiper.Outgoing message : gossiper.nextMessages(report, current, clock.instant())) {
       transport.send(message.address(), message.gossip());
     }
   }
@@ -121,7 +121,7 @@
   private void startAnew() {
     LOG.log(System.Logger.Level.WARNING, "membership.broke_off", "node", self.nodeId());
     firstHeardAt.set(Optional.empty());
-    table.updateAndGet(t -> t.allHeardAt(clock.instant()));
+    table.updateAndGet(t -> t.withAllSeenAt(clock.instant()));
   }
 
   /** Returns the peer address of a member, if it is known. */
@@ -145,7 +145,7 @@
 
   /** Sends a message to the entries known in this daemon's region. */
   public void sendToRegionEntries(PeerMessage message) {
-    for (Member m : table.get().known(MemberInfo.ENTRY, self.region())) {
+    for (Member m : table.get().membersOf(MemberInfo.ENTRY, self.region())) {
       transport.send(m.info().peerAddress(), message);
     }
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/PeerTraffic.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/PeerTraffic.java
@@ -49,7 +49,7 @@
   }
 
   /** Adds the time that was spent on handling a message. */
-  public void handled(PeerMessage message, long nanos) {
+  public void recordHandling(PeerMessage message, long nanos) {
     row(message).workNanos.add(nanos);
   }
 
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/EntryListTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/EntryListTest.java
@@ -41,7 +41,7 @@
         Collections.synchronizedList(new ArrayList<>());
 
     private ReportingEntry(Vertx vertx, String name) throws Exception {
-      int port = LoopbackPorts.free();
+      int port = LoopbackPorts.allocatePort();
       transport = new PeerTransport(vertx, new FrameCodec(FleetHarness.SECRET));
       info = new EntryInfo(name, "north", "north-a", "p", "127.0.0.1:" + port, "r");
       transport
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/FleetHarness.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/FleetHarness.java
@@ -24,7 +24,7 @@
 import org.lacewingcroft.fleet.FleetBounds;
 import org.lacewingcroft.fleet.FleetSettings;
 import org.lacewingcroft.metrics.GatewayMetrics;
-import org.lacewingcroft.misc.SteadyInstantSource;
+import org.lacewingcroft.misc.MonotonicInstantSource;
 import org.lacewingcroft.peer.LoopbackPorts;
 import org.lacewingcroft.route.Route;
 import org.lacewingcroft.route.RouteKind;
@@ -122,7 +122,7 @@
                   context,
                   settings,
                   document -> tables.get(Long.parseLong(document)),
-                  new SteadyInstantSource(),
+                  new MonotonicInstantSource(),
                   new GatewayMetrics());
           return control.start();
         });
@@ -155,8 +155,8 @@
         region,
         region + "-a",
         Map.of("north-a", "north", "south-a", "south"),
-        LoopbackPorts.free(),
-        LoopbackPorts.free(),
+        LoopbackPorts.allocatePort(),
+        LoopbackPorts.allocatePort(),
         seeds,
         dataDir,
         true,
@@ -170,7 +170,7 @@
   Entry startEntry(String name, String region) throws Exception {
     FleetSettings settings =
         settings(name, region, List.of(controlSettings.peerAddress()), Optional.empty());
-    int publicPort = LoopbackPorts.free();
+    int publicPort = LoopbackPorts.allocatePort();
     EntryInfo self =
         new EntryInfo(
             name,
@@ -179,7 +179,7 @@
             "127.0.0.1:" + publicPort,
             settings.peerAddress(),
             settings.relayAddress());
-    SteadyInstantSource clock = new SteadyInstantSource();
+    MonotonicInstantSource clock = new MonotonicInstantSource();
     EntryNode node =
         new EntryNode(
             context,
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/RelayTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/RelayTest.java
@@ -131,7 +131,7 @@
                               .serves(
                                   "south",
                                   service,
-                                  new org.lacewingcroft.misc.SteadyInstantSource().instant())));
+                                  new org.lacewingcroft.misc.MonotonicInstantSource().instant())));
       if (served) {
         return;
       }
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/peer/LoopbackPortsTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/peer/LoopbackPortsTest.java
@@ -29,7 +29,7 @@
     Set<Integer> local = new HashSet<>();
     List<Socket> connections = new ArrayList<>();
     try (ServerSocket server = new ServerSocket(0, CONNECTIONS, InetAddress.getLoopbackAddress())) {
-      int first = LoopbackPorts.neighbours(count);
+      int first = LoopbackPorts.allocateConsecutivePorts(count);
       for (int i = 0; i < CONNECTIONS; i++) {
         Socket connection = new Socket(server.getInetAddress(), server.getLocalPort());
         connections.add(connection);
@@ -53,7 +53,7 @@
   void noPortIsGivenTwice() throws IOException {
     Set<Integer> given = new HashSet<>();
     for (int i = 0; i < 200; i++) {
-      given.add(LoopbackPorts.free());
+      given.add(LoopbackPorts.allocatePort());
     }
     assertThat(given, hasSize(200));
     assertThat(given, everyItem(greaterThanOrEqualTo(LoopbackPorts.LOWEST)));
@@ -63,11 +63,11 @@
   /** A listener at one local address makes the port unfit, for another address too. */
   @Test
   void portsInUseArePassedOver() throws IOException {
-    int first = LoopbackPorts.neighbours(2);
+    int first = LoopbackPorts.allocateConsecutivePorts(2);
     try (ServerSocket taken = new ServerSocket(first, 1, InetAddress.getByName("127.0.0.3"))) {
       Set<Integer> given = new HashSet<>();
       for (int i = 0; i < 100; i++) {
-        given.add(LoopbackPorts.free());
+        given.add(LoopbackPorts.allocatePort());
       }
       assertThat(given.contains(taken.getLocalPort()), is(false));
     }
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/peer/MembershipTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/peer/MembershipTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.lacewingcroft.membership.Gossiper;
-import org.lacewingcroft.membership.Liveness;
+import org.lacewingcroft.membership.Heartbeat;
 
 /** A daemon that was frozen must not take its own silence for that of the others. */
 class MembershipTest {
@@ -64,7 +64,7 @@
   }
 
   private static void hear(Membership membership, long counter) {
-    List<Liveness> signs = List.of(new Liveness("entry-2", 1, counter, false));
+    List<Heartbeat> signs = List.of(new Heartbeat("entry-2", 1, counter, false));
     membership.onGossip(
         new PeerMessage.Gossip(info("entry-2"), 1, signs, List.of(), List.of(), false), 1);
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/ConfigLearning.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/ConfigReceiver.java
@@ -15,7 +15,7 @@
  * older than any version they reported. A peer may report a version and vanish, so the wait is
  * bounded.
  */
-public final class ConfigLearning {
+public final class ConfigReceiver {
   private static final int MAX_SETTLING_TIMES = 5;
 
   private record Offer(long version, String document) {}
@@ -32,7 +32,7 @@
    * @param configs where versions are put in force
    * @param settle how long to listen to peers after the first is heard
    */
-  public ConfigLearning(ConfigStore configs, Duration settle) {
+  public ConfigReceiver(ConfigStore configs, Duration settle) {
     this.configs = configs;
     this.settle = settle;
   }
@@ -42,17 +42,17 @@
    *
    * @return whether it is newer than the best version offered, so that it should be asked for
    */
-  public synchronized boolean heard(long version, Instant now) {
+  public synchronized boolean onReportedVersion(long version, Instant now) {
     if (firstHeardAt.isEmpty()) {
       firstHeardAt = Optional.of(now);
     }
     highestReported = Math.max(highestReported, version);
-    return version > highestOffered();
+    return version > highestOfferedVersion();
   }
 
   /** Takes a version that a peer offers. */
-  public synchronized void offered(long version, String document, Instant now) {
-    if (version > highestOffered()) {
+  public synchronized void onOffer(long version, String document, Instant now) {
+    if (version > highestOfferedVersion()) {
       best = Optional.of(new Offer(version, document));
     }
     tick(now);
@@ -62,14 +62,14 @@
    * Takes patches that a peer offers; before this daemon has a version of its own they are of no
    * use and ignored.
    */
-  public synchronized void offeredPatches(long baseVersion, List<String> patches) {
+  public synchronized void onPatches(long baseVersion, List<String> patches) {
     if (configs.current().version() > 0) {
       configs.offerPatches(baseVersion, patches.stream().map(ConfigPatch::parse).toList());
     }
   }
 
   /** Returns the newest version offered or in force. */
-  public synchronized long highestOffered() {
+  public synchronized long highestOfferedVersion() {
     return Math.max(configs.current().version(), best.map(Offer::version).orElse(0L));
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/Command.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/Command.java
@@ -68,10 +68,10 @@
    *
    * @param failureDomain the failure domain
    * @param active whether its endpoints shall get no work
-   * @param basisRevision the revision known where the operator gave the order; the command has no
+   * @param baseRevision the revision known where the operator gave the order; the command has no
    *     effect if the domain's evacuation was changed since
    */
-  record EvacuationChange(String failureDomain, boolean active, long basisRevision)
+  record EvacuationChange(String failureDomain, boolean active, long baseRevision)
       implements Command {}
 
   /**
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConfigState.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConfigState.java
@@ -71,7 +71,7 @@
     }
     if (entry.command() instanceof Command.EvacuationChange change) {
       return withRouting(
-          routing.evacuated(change.failureDomain(), change.active(), change.basisRevision()));
+          routing.evacuated(change.failureDomain(), change.active(), change.baseRevision()));
     }
     if (entry.command() instanceof Command.GroupChange change) {
       return withMembers(change.members());
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusCodec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusCodec.java
@@ -46,7 +46,7 @@
       p.packInt(ROUTING_CHANGE).packLong(c.version()).packString(c.document());
     } else if (e.command() instanceof Command.EvacuationChange c) {
       p.packInt(EVACUATION_CHANGE).packString(c.failureDomain());
-      p.packBoolean(c.active()).packLong(c.basisRevision());
+      p.packBoolean(c.active()).packLong(c.baseRevision());
     } else if (e.command() instanceof Command.GroupChange c) {
       p.packInt(GROUP_CHANGE);
       packNames(p, c.members());
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusMember.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusMember.java
@@ -264,7 +264,7 @@
   }
 
   /** Begins to replicate to an instance that is no member yet, if this member leads. */
-  public Output admit(String learner, long nowMillis) {
+  public Output addLearner(String learner, long nowMillis) {
     Output out = new Output();
     if (role == Role.LEADER && !learner.equals(id) && !followers.containsKey(learner)) {
       Progress p = new Progress(log.lastIndex() + 1, nowMillis);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/Output.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/Output.java
@@ -20,10 +20,10 @@
   /**
    * The outcome of a proposal.
    *
-   * @param ticket the ticket the driver gave with the proposal
+   * @param proposalId the ticket the driver gave with the proposal
    * @param result the outcome
    */
-  public record Decision(long ticket, ChangeResult result) {}
+  public record Decision(long proposalId, ChangeResult result) {}
 
   void send(String to, ConsensusMessage message) {
     messages.add(new Envelope(to, message));
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/Endpoint.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/Endpoint.java
@@ -47,7 +47,7 @@
   }
 
   /** Returns whether the endpoint may get new work at the given time. */
-  public boolean acceptsWork(Instant now) {
+  public boolean acceptsRequests(Instant now) {
     return !draining && now.isBefore(leaseExpiresAt);
   }
 
@@ -57,7 +57,7 @@
   }
 
   /** Returns the same announcement with its lease ending at another time. */
-  public Endpoint leasedUntil(Instant end) {
+  public Endpoint withLeaseExpiry(Instant end) {
     return new Endpoint(
         id,
         baseUrl,
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/EndpointHealth.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/EndpointHealth.java
@@ -52,7 +52,7 @@
   }
 
   /** Returns the endpoints that want nothing now, and how much longer. */
-  public Map<String, Duration> paused(Instant now) {
+  public Map<String, Duration> remainingPauses(Instant now) {
     pausedUntil.values().removeIf(until -> !until.isAfter(now));
     Map<String, Duration> left = new HashMap<>();
     pausedUntil.forEach((id, until) -> left.put(id, Duration.between(now, until)));
@@ -65,7 +65,7 @@
   }
 
   /** Returns the endpoints to pass over now. */
-  public Set<String> isInBackoff(Instant now) {
+  public Set<String> endpointsInBackoff(Instant now) {
     if (failing.isEmpty()) {
       return Set.of();
     }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Gossiper.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Gossiper.java
@@ -56,7 +56,7 @@
 
   /** What a daemon says of itself in one interval. */
   public record SelfReport(
-      boolean leaving, long configVersion, Map<String, Integer> freeSlotsByModel) {}
+      boolean draining, long configVersion, Map<String, Integer> freeSlotsByModel) {}
 
   /**
    * Creates the gossiper of one daemon.
@@ -73,10 +73,10 @@
   }
 
   /** Returns this interval's messages. */
-  public List<Outgoing> round(SelfReport report, MemberTable table, Instant now) {
+  public List<Outgoing> nextMessages(SelfReport report, MemberTable table, Instant now) {
     counter++;
     Set<String> receivers = new LinkedHashSet<>();
-    List<Member> followed = table.followed();
+    List<Member> followed = table.trackedMembers();
     regionReceivers(followed).forEach(m -> receivers.add(m.info().peerAddress()));
     final List<RegionDigest> known = new ArrayList<>(table.digests());
     Optional<RegionDigest> own = Optional.empty();
@@ -117,7 +117,7 @@
    *
    * @return the answer, or empty if there is nothing to tell
    */
-  public Optional<Outgoing> answer(
+  public Optional<Outgoing> respond(
       PeerMessage.Gossip asking, long configVersion, MemberTable table) {
     MemberInfo asker = asking.sender();
     List<Member> wanted =
@@ -127,11 +127,11 @@
                 .filter(m -> !m.info().nodeId().equals(asker.nodeId()))
                 .toList(),
             MEMBERS_ANSWERED);
-    if (!asking.asking() || wanted.isEmpty()) {
+    if (!asking.replyRequested() || wanted.isEmpty()) {
       return Optional.empty();
     }
-    List<Liveness> signs = new ArrayList<>();
-    signs.add(new Liveness(self.nodeId(), self.incarnation(), counter, false));
+    List<Heartbeat> signs = new ArrayList<>();
+    signs.add(new Heartbeat(self.nodeId(), self.incarnation(), counter, false));
     wanted.forEach(m -> signs.add(m.liveness()));
     List<MemberInfo> infos = wanted.stream().map(Member::info).toList();
     return Optional.of(
@@ -191,7 +191,7 @@
 
   private RegionDigest ownDigest(SelfReport report, MemberTable table, Instant now) {
     List<MemberInfo> contacts = new ArrayList<>();
-    if (!report.leaving()) {
+    if (!report.draining()) {
       contacts.add(self);
     }
     pick(table.alive(MemberInfo.ENTRY, self.region(), now), RegionDigest.MAX_CONTACTS).stream()
@@ -206,8 +206,8 @@
   private PeerMessage.Gossip message(
       SelfReport report, List<Member> followed, Optional<RegionDigest> digest, boolean asking) {
     List<MemberInfo> introductions = introductions(followed);
-    List<Liveness> signs = new ArrayList<>();
-    signs.add(new Liveness(self.nodeId(), self.incarnation(), counter, report.leaving()));
+    List<Heartbeat> signs = new ArrayList<>();
+    signs.add(new Heartbeat(self.nodeId(), self.incarnation(), counter, report.draining()));
     pick(followed, SIGNS_PER_MESSAGE).forEach(m -> signs.add(m.liveness()));
     followed.stream()
         .filter(m -> introductions.contains(m.info()) && !signs.contains(m.liveness()))
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Liveness.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Heartbeat.java
@@ -6,12 +6,12 @@
  * @param nodeId the daemon
  * @param incarnation the start of its process
  * @param counter raised by the daemon itself in every interval
- * @param leaving true while it shuts down gracefully and takes no new work
+ * @param draining true while it shuts down gracefully and takes no new work
  */
-public record Liveness(String nodeId, long incarnation, long counter, boolean leaving) {
+public record Heartbeat(String nodeId, long incarnation, long counter, boolean draining) {
 
   /** Returns whether this was given after the other. */
-  boolean newerThan(Liveness other) {
+  boolean newerThan(Heartbeat other) {
     return incarnation > other.incarnation
         || incarnation == other.incarnation && counter > other.counter;
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Member.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Member.java
@@ -14,7 +14,7 @@
  * @param freeSlotsByModel its region's free capacity by model, for an entry of another region
  */
 public record Member(
-    MemberInfo info, Liveness liveness, Instant lastSeenAt, Map<String, Integer> freeSlotsByModel) {
+    MemberInfo info, Heartbeat liveness, Instant lastSeenAt, Map<String, Integer> freeSlotsByModel) {
 
   /** Copies the map so the record is immutable. */
   public Member {
@@ -23,6 +23,6 @@
 
   /** Returns whether the daemon shuts down gracefully and takes no new work. */
   public boolean leaving() {
-    return liveness.leaving();
+    return liveness.draining();
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/MemberTable.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/MemberTable.java
@@ -18,7 +18,7 @@
  * An immutable table of the daemons one daemon knows, fed by gossip.
  *
  * <p>A member is {@link MemberStatus#ALIVE} while its counter has risen within {@link
- * #suspectIntervals}, which allows for the time gossip takes in a region of this size; then {@link
+ * #suspicionTimeoutIntervals}, which allows for the time gossip takes in a region of this size; then {@link
  * MemberStatus#SUSPECT} for as long again, then removed. What was known of a removed member is kept
  * for a while, so that a peer that still passes on its old counter does not bring it back.
  */
@@ -28,7 +28,7 @@
 
   private static final int TOMBSTONE_SUSPICIONS = 20;
 
-  private record Tombstone(Liveness liveness, Instant until) {}
+  private record Tombstone(Heartbeat liveness, Instant until) {}
 
   private final MemberInfo self;
   private final Duration interval;
@@ -65,13 +65,13 @@
   }
 
   /** Returns the table after a gossip message. */
-  public MemberTable heard(PeerMessage.Gossip gossip, Instant now) {
+  public MemberTable withGossip(PeerMessage.Gossip gossip, Instant now) {
     Map<String, Member> members = new HashMap<>(byId);
     final Map<String, RegionDigest> digests = new HashMap<>(digestByOriginator);
-    Map<String, Liveness> signs = new HashMap<>();
-    gossip.signs().forEach(s -> signs.put(s.nodeId(), s));
+    Map<String, Heartbeat> signs = new HashMap<>();
+    gossip.heartbeats().forEach(s -> signs.put(s.nodeId(), s));
     introduce(gossip.sender(), signs, members, now);
-    gossip.introductions().forEach(i -> introduce(i, signs, members, now));
+    gossip.memberInfos().forEach(i -> introduce(i, signs, members, now));
     signs.values().forEach(s -> advance(s, members, now));
     gossip.digests().forEach(d -> takeDigest(d, digests, members, now));
     meet(gossip.sender(), signs, members, now);
@@ -79,7 +79,7 @@
     return new MemberTable(self, interval, members, tombstones, digests, missing);
   }
 
-  private boolean isUnknown(Liveness sign, Map<String, Member> members) {
+  private boolean isUnknown(Heartbeat sign, Map<String, Member> members) {
     Tombstone tombstone = tombstones.get(sign.nodeId());
     boolean buried = tombstone != null && !sign.newerThan(tombstone.liveness());
     return !members.containsKey(sign.nodeId()) && !sign.nodeId().equals(self.nodeId()) && !buried;
@@ -97,9 +97,9 @@
 
   /** Keeps a sender of another region as a contact there, while it is heard of. */
   private void meet(
-      MemberInfo sender, Map<String, Liveness> signs, Map<String, Member> members, Instant now) {
-    Liveness sign = signs.get(sender.nodeId());
-    if (sign == null || sign.leaving() || follows(sender)) {
+      MemberInfo sender, Map<String, Heartbeat> signs, Map<String, Member> members, Instant now) {
+    Heartbeat sign = signs.get(sender.nodeId());
+    if (sign == null || sign.draining() || follows(sender)) {
       return;
     }
     Map<String, Integer> freeSlots =
@@ -112,8 +112,8 @@
   }
 
   private void introduce(
-      MemberInfo info, Map<String, Liveness> signs, Map<String, Member> members, Instant now) {
-    Liveness sign = signs.get(info.nodeId());
+      MemberInfo info, Map<String, Heartbeat> signs, Map<String, Member> members, Instant now) {
+    Heartbeat sign = signs.get(info.nodeId());
     if (sign == null || info.nodeId().equals(self.nodeId()) || !follows(info)) {
       return;
     }
@@ -126,7 +126,7 @@
     }
   }
 
-  private static void advance(Liveness sign, Map<String, Member> members, Instant now) {
+  private static void advance(Heartbeat sign, Map<String, Member> members, Instant now) {
     Member known = members.get(sign.nodeId());
     boolean sameRun = known != null && known.info().incarnation() == sign.incarnation();
     if (sameRun && sign.newerThan(known.liveness())) {
@@ -141,7 +141,7 @@
       Map<String, Member> members,
       Instant now) {
     RegionDigest held = digests.get(digest.originator());
-    boolean stale = held != null && held.stamp() >= digest.stamp();
+    boolean stale = held != null && held.sequence() >= digest.sequence();
     if (stale || digest.region().equals(self.region())) {
       return;
     }
@@ -155,14 +155,14 @@
       if (!follows(contact)) {
         // A digest says that a contact lives, but not by which counter: one made up here would
         // outrank the contact's own signs of life wherever it is passed on.
-        Liveness sign = new Liveness(contact.nodeId(), contact.incarnation(), 0, false);
+        Heartbeat sign = new Heartbeat(contact.nodeId(), contact.incarnation(), 0, false);
         members.put(contact.nodeId(), new Member(contact, sign, now, digest.freeSlotsByModel()));
       }
     }
   }
 
   /** Returns the table with every member's silence counted from the given time on. */
-  public MemberTable allHeardAt(Instant now) {
+  public MemberTable withAllSeenAt(Instant now) {
     Map<String, Member> members = new HashMap<>();
     byId.forEach(
         (id, m) -> members.put(id, new Member(m.info(), m.liveness(), now, m.freeSlotsByModel())));
@@ -188,12 +188,12 @@
   }
 
   /** Returns after how many intervals of silence a member of a region of this size is suspect. */
-  public static int suspectIntervals(int members) {
+  public static int suspicionTimeoutIntervals(int members) {
     return 3 + (int) Math.ceil(2 * Math.log(Math.max(1, members)) / Math.log(2));
   }
 
   private Duration suspectAfter() {
-    return interval.multipliedBy(suspectIntervals(followedCount + 1));
+    return interval.multipliedBy(suspicionTimeoutIntervals(followedCount + 1));
   }
 
   /** Returns the status of a member at the given time. */
@@ -218,7 +218,7 @@
   /**
    * Returns the members whose signs of life this daemon follows: its region and the control group.
    */
-  public List<Member> followed() {
+  public List<Member> trackedMembers() {
     return byId.values().stream().filter(m -> follows(m.info())).collect(Collectors.toList());
   }
 
@@ -227,7 +227,7 @@
     Map<String, RegionDigest> newest = new TreeMap<>();
     digestByOriginator
         .values()
-        .forEach(d -> newest.merge(d.region(), d, (a, b) -> a.stamp() >= b.stamp() ? a : b));
+        .forEach(d -> newest.merge(d.region(), d, (a, b) -> a.sequence() >= b.sequence() ? a : b));
     return newest.values();
   }
 
@@ -238,13 +238,13 @@
 
   /** Returns the alive members of a role in a region that are not leaving, ordered by node id. */
   public List<Member> alive(String role, String region, Instant now) {
-    return known(role, region).stream()
+    return membersOf(role, region).stream()
         .filter(m -> !m.leaving() && status(m, now) == MemberStatus.ALIVE)
         .collect(Collectors.toList());
   }
 
   /** Returns the members of a role in a region, suspect and leaving ones too, by node id. */
-  public List<Member> known(String role, String region) {
+  public List<Member> membersOf(String role, String region) {
     return byId.values().stream()
         .filter(m -> m.info().role().equals(role))
         .filter(m -> region == null || m.info().region().equals(region))
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/RegionDigest.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/RegionDigest.java
@@ -10,14 +10,14 @@
  *
  * @param region the region
  * @param originator the delegate that made it
- * @param stamp rises with each digest of the originator, over its restarts too
+ * @param sequence rises with each digest of the originator, over its restarts too
  * @param contacts live entries of the region, at most {@link #MAX_CONTACTS}
  * @param freeSlotsByModel the region's free capacity by model
  */
 public record RegionDigest(
     String region,
     String originator,
-    long stamp,
+    long sequence,
     List<MemberInfo> contacts,
     Map<String, Integer> freeSlotsByModel) {
   /** How many entries a digest names. */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/MessageCodec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/MessageCodec.java
@@ -16,7 +16,7 @@
 import org.lacewingcroft.fleet.FleetCodec;
 import org.lacewingcroft.idempotency.Claimant;
 import org.lacewingcroft.idempotency.IdempotencyTable;
-import org.lacewingcroft.membership.Liveness;
+import org.lacewingcroft.membership.Heartbeat;
 import org.lacewingcroft.membership.RegionDigest;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
@@ -65,7 +65,7 @@
         p.packString(o.document());
       } else if (message instanceof PeerMessage.ConfigRequest r) {
         p.packInt(CONFIG_REQUEST);
-        p.packLong(r.haveVersion());
+        p.packLong(r.senderVersion());
         p.packString(r.replyTo());
       } else if (message instanceof PeerMessage.IdempotencyRecord r) {
         p.packInt(IDEMPOTENCY_RECORD);
@@ -77,9 +77,9 @@
         p.packString(c.replyTo());
       } else if (message instanceof PeerMessage.KeyClaimReply c) {
         p.packInt(KEY_CLAIM_REPLY);
-        p.packLong(c.callId()).packString(c.from()).packBoolean(c.held().isPresent());
-        if (c.held().isPresent()) {
-          packRecord(p, c.held().get());
+        p.packLong(c.callId()).packString(c.from()).packBoolean(c.existing().isPresent());
+        if (c.existing().isPresent()) {
+          packRecord(p, c.existing().get());
         }
       } else if (message instanceof PeerMessage.KeyRelease c) {
         p.packInt(KEY_RELEASE);
@@ -147,27 +147,27 @@
   private static void packGossip(MessageBufferPacker p, PeerMessage.Gossip g) throws IOException {
     packMember(p, g.sender());
     p.packLong(g.configVersion());
-    p.packArrayHeader(g.signs().size());
-    for (Liveness s : g.signs()) {
+    p.packArrayHeader(g.heartbeats().size());
+    for (Heartbeat s : g.heartbeats()) {
       p.packString(s.nodeId()).packLong(s.incarnation()).packLong(s.counter());
-      p.packBoolean(s.leaving());
+      p.packBoolean(s.draining());
     }
-    packMembers(p, g.introductions());
+    packMembers(p, g.memberInfos());
     p.packArrayHeader(g.digests().size());
     for (RegionDigest d : g.digests()) {
-      p.packString(d.region()).packString(d.originator()).packLong(d.stamp());
+      p.packString(d.region()).packString(d.originator()).packLong(d.sequence());
       packMembers(p, d.contacts());
       packCounts(p, d.freeSlotsByModel());
     }
-    p.packBoolean(g.asking());
+    p.packBoolean(g.replyRequested());
   }
 
   private static PeerMessage.Gossip unpackGossip(MessageUnpacker u) throws IOException {
     final MemberInfo sender = unpackMember(u);
     final long configVersion = u.unpackLong();
-    List<Liveness> signs = new ArrayList<>();
+    List<Heartbeat> signs = new ArrayList<>();
     for (int n = u.unpackArrayHeader(); n > 0; n--) {
-      signs.add(new Liveness(u.unpackString(), u.unpackLong(), u.unpackLong(), u.unpackBoolean()));
+      signs.add(new Heartbeat(u.unpackString(), u.unpackLong(), u.unpackLong(), u.unpackBoolean()));
     }
     List<MemberInfo> introductions = unpackMembers(u);
     List<RegionDigest> digests = new ArrayList<>();
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/PeerMessage.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/PeerMessage.java
@@ -7,7 +7,7 @@
 import org.lacewingcroft.fleet.FleetMessage;
 import org.lacewingcroft.idempotency.Claimant;
 import org.lacewingcroft.idempotency.IdempotencyTable;
-import org.lacewingcroft.membership.Liveness;
+import org.lacewingcroft.membership.Heartbeat;
 import org.lacewingcroft.membership.RegionDigest;
 
 /**
@@ -21,23 +21,23 @@
    *
    * @param sender the sending daemon's description
    * @param configVersion the configuration version in force at the sender
-   * @param signs the newest sign of life of the sender, its region's members and the control group
-   * @param introductions descriptions of some of those members
+   * @param heartbeats the newest sign of life of the sender, its region's members and the control group
+   * @param memberInfos descriptions of some of those members
    * @param digests what the sender knows of some regions
-   * @param asking whether the sender looks for members of its region and wants an answer
+   * @param replyRequested whether the sender looks for members of its region and wants an answer
    */
   record Gossip(
       MemberInfo sender,
       long configVersion,
-      List<Liveness> signs,
-      List<MemberInfo> introductions,
+      List<Heartbeat> heartbeats,
+      List<MemberInfo> memberInfos,
       List<RegionDigest> digests,
-      boolean asking)
+      boolean replyRequested)
       implements PeerMessage {
     /** Copies the collections so the message is immutable. */
     public Gossip {
-      signs = List.copyOf(signs);
-      introductions = List.copyOf(introductions);
+      heartbeats = List.copyOf(heartbeats);
+      memberInfos = List.copyOf(memberInfos);
       digests = List.copyOf(digests);
     }
   }
@@ -82,10 +82,10 @@
   /**
    * Asks the receiver for its configuration if it is newer than {@code haveVersion}.
    *
-   * @param haveVersion the version the sender already has
+   * @param senderVersion the version the sender already has
    * @param replyTo the sender's peer address
    */
-  record ConfigRequest(long haveVersion, String replyTo) implements PeerMessage {}
+  record ConfigRequest(long senderVersion, String replyTo) implements PeerMessage {}
 
   /**
    * An at-most-once record with its outcome, sent to the other replicas of its key.
@@ -110,9 +110,9 @@
    *
    * @param callId the call
    * @param from the replica's node id
-   * @param held the record that stands in the way; empty if the claim is granted
+   * @param existing the record that stands in the way; empty if the claim is granted
    */
-  record KeyClaimReply(long callId, String from, Optional<IdempotencyTable.Entry> held)
+  record KeyClaimReply(long callId, String from, Optional<IdempotencyTable.Entry> existing)
       implements PeerMessage {}
 
   /**
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placer.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placer.java
@@ -350,7 +350,7 @@
 
   private static boolean fetches(Context around) {
     return around.uses(PlacementMechanism.PREFIX_FETCH)
-        && around.engine().filter(ServiceSpec.Engine::fetches).isPresent();
+        && around.engine().filter(ServiceSpec.Engine::supportsKvFetch).isPresent();
   }
 
   private static boolean worthFetching(
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/request/RequestFingerprint.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/request/RequestFingerprint.java
@@ -33,7 +33,7 @@
    */
   public static RequestFingerprint of(
       String method, String hostHeader, String target, byte[] body) {
-    String head = method + END + HostHeader.nameOf(hostHeader) + END + target + END;
+    String head = method + END + HostHeader.hostOf(hostHeader) + END + target + END;
     MessageDigest digest = newDigest();
     digest.update(head.getBytes(StandardCharsets.UTF_8));
     return new RequestFingerprint(ByteBuffer.wrap(digest.digest(body)).getLong());
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/Route.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/Route.java
@@ -18,7 +18,7 @@
  * @param shares the services that may serve it, with their weights
  * @param maxAttempts how many endpoints one request may be run on
  * @param resumable whether a stream may go on at another endpoint after an event
- * @param pauseObjective the longest pause between two events that callers want, for streams
+ * @param eventGapObjective the longest pause between two events that callers want, for streams
  * @param homeRegions the regions that may run its requests; empty for any
  * @param authExempt whether callers need no key of an organisation
  */
@@ -33,7 +33,7 @@
     List<ServiceShare> shares,
     int maxAttempts,
     boolean resumable,
-    Optional<Duration> pauseObjective,
+    Optional<Duration> eventGapObjective,
     Set<String> homeRegions,
     boolean authExempt) {
 
@@ -58,7 +58,7 @@
    *
    * @param point a number drawn evenly from 0 (inclusive) to 1 (exclusive)
    */
-  public String pick(double point) {
+  public String pickService(double point) {
     int total = shares.stream().mapToInt(ServiceShare::weight).sum();
     double left = point * total;
     for (ServiceShare share : shares) {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/RouteTable.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/RouteTable.java
@@ -147,7 +147,7 @@
    * Returns the regions that may run every request to a host: those that all of its routes with
    * homes have in common. Empty if none of its routes has homes, or none is common.
    */
-  public Set<String> homesOf(String hostHeader) {
+  public Set<String> homeRegionsOf(String hostHeader) {
     Set<String> common = new HashSet<>();
     routesOf(hostHeader).stream()
         .map(Route::homeRegions)
@@ -174,6 +174,6 @@
   }
 
   private List<Route> routesOf(String hostHeader) {
-    return routesByHost.getOrDefault(HostHeader.nameOf(hostHeader), List.of());
+    return routesByHost.getOrDefault(HostHeader.hostOf(hostHeader), List.of());
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/ServiceSpec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/ServiceSpec.java
@@ -35,7 +35,7 @@
     private static final double BITS_PER_MILLI_AT_ONE_MBPS = 1_000;
 
     /** Returns whether engines can fetch KV cache from each other. */
-    public boolean fetches() {
+    public boolean supportsKvFetch() {
       return linkMbps > 0 && tokenKvBytes > 0;
     }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/Router.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/Router.java
@@ -177,7 +177,7 @@
     List<Candidate> candidates = new ArrayList<>(serving.size());
     for (Endpoint e : serving) {
       if (e.region().equals(localRegion)
-          && e.acceptsWork(now)
+          && e.acceptsRequests(now)
           && !request.excludedEndpoints().contains(e.id())
           && selector.matches(e.labels())) {
         candidates.add(new Candidate(e, view.inFlightTo(e.id()), cached(e, prefixHash, view)));
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/config/ConfigLearningTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/config/ConfigLearningTest.java
@@ -60,12 +60,12 @@
   @MethodSource("schedules")
   void putsOnlySettledVersionsInForce(String name, List<Step> steps) {
     ConfigStore configs = new ConfigStore();
-    ConfigLearning learning = new ConfigLearning(configs, Duration.ofSeconds(1));
+    ConfigReceiver learning = new ConfigReceiver(configs, Duration.ofSeconds(1));
     for (Step step : steps) {
       Instant now = START.plusMillis(step.atMillis());
       switch (step.kind()) {
-        case "report" -> learning.heard(step.version(), now);
-        case "offer" -> learning.offered(step.version(), "selectors: []", now);
+        case "report" -> learning.onReportedVersion(step.version(), now);
+        case "offer" -> learning.onOffer(step.version(), "selectors: []", now);
         default -> learning.tick(now);
       }
       assertThat(step.toString(), configs.current().version(), is(step.inForce()));
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ControlGroup.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ControlGroup.java
@@ -107,7 +107,7 @@
   private void adjust(String id) {
     for (String other : ids) {
       if (runs(other) && cutOff.contains(id) == cutOff.contains(other)) {
-        carryOut(id, member(id).admit(other, nowMillis));
+        carryOut(id, member(id).addLearner(other, nowMillis));
       }
     }
     carryOut(id, member(id).adjustGroup(policy.orElseThrow(), nowMillis));
@@ -284,10 +284,10 @@
   }
 
   private void checkDecision(Output.Decision decision) {
-    results.put(decision.ticket(), decision.result());
+    results.put(decision.proposalId(), decision.result());
     if (decision.result() instanceof ChangeResult.Accepted a
-        && !routeByTicket.containsKey(decision.ticket())) {
-      String change = changeByTicket.get(decision.ticket());
+        && !routeByTicket.containsKey(decision.proposalId())) {
+      String change = changeByTicket.get(decision.proposalId());
       String earlier = changeByVersion.putIfAbsent(a.version(), change);
       if (earlier != null && !earlier.equals(change)) {
         throw new AssertionError("version " + a.version() + ": " + earlier + " and " + change);
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/endpoint/EndpointHealthTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/endpoint/EndpointHealthTest.java
@@ -28,9 +28,9 @@
     for (int i = 0; i < failures; i++) {
       health.recordFailure("e1", T0);
     }
-    assertThat(health.isInBackoff(T0.plusMillis(laterMillis)).contains("e1"), is(passedOver));
+    assertThat(health.endpointsInBackoff(T0.plusMillis(laterMillis)).contains("e1"), is(passedOver));
     health.recordSuccess("e1");
-    assertThat(health.isInBackoff(T0), is(Set.of()));
+    assertThat(health.endpointsInBackoff(T0), is(Set.of()));
   }
 
   /** A success of another request says nothing of the pause that the endpoint asked for. */
@@ -40,8 +40,8 @@
     health.recordPause("e1", Duration.ofSeconds(3), T0);
     health.recordPause("e1", Duration.ofSeconds(1), T0.plusMillis(100));
     health.recordSuccess("e1");
-    assertThat(health.paused(T0.plusMillis(2_999)), is(Map.of("e1", Duration.ofMillis(1))));
-    assertThat(health.paused(T0.plusMillis(3_000)), is(Map.of()));
+    assertThat(health.remainingPauses(T0.plusMillis(2_999)), is(Map.of("e1", Duration.ofMillis(1))));
+    assertThat(health.remainingPauses(T0.plusMillis(3_000)), is(Map.of()));
   }
 
   /** A late announcement must not undo a newer one that says the endpoint is leaving. */
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/membership/GossipTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/membership/GossipTest.java
@@ -73,7 +73,7 @@
           node.table = node.table.withoutDead(now);
           Gossiper.SelfReport report =
               new Gossiper.SelfReport(node.leaving, 1, Map.of("writer", 4));
-          node.gossiper.round(report, node.table, now).forEach(this::deliver);
+          node.gossiper.nextMessages(report, node.table, now).forEach(this::deliver);
         }
       }
     }
@@ -82,8 +82,8 @@
   private void deliver(Gossiper.Outgoing message) {
     Node receiver = nodes.get(message.address());
     if (receiver != null && !frozen.contains(message.address())) {
-      receiver.table = receiver.table.heard(message.gossip(), now);
-      receiver.gossiper.answer(message.gossip(), 1, receiver.table).ifPresent(this::deliver);
+      receiver.table = receiver.table.withGossip(message.gossip(), now);
+      receiver.gossiper.respond(message.gossip(), 1, receiver.table).ifPresent(this::deliver);
     }
   }
 
@@ -103,7 +103,7 @@
         String id = node.info.nodeId();
         int self = node.info.role().equals(MemberInfo.ENTRY) ? 1 : 0;
         assertThat(
-            id + " knows " + node.table.known(MemberInfo.ENTRY, node.info.region()).size(),
+            id + " knows " + node.table.membersOf(MemberInfo.ENTRY, node.info.region()).size(),
             aliveAt(id, node.info.region()).size(),
             is(entriesPerRegion - self));
         assertThat(id, node.table.get("control-1").isPresent() || id.equals("control-1"));
@@ -122,7 +122,7 @@
     startRegions(2, entries);
     String silent = "entry-0-1";
     frozen.add(silent);
-    int suspected = MemberTable.suspectIntervals(entries + 2) + LATEST_NEWS_ROUNDS;
+    int suspected = MemberTable.suspicionTimeoutIntervals(entries + 2) + LATEST_NEWS_ROUNDS;
     rounds(suspected);
     assertThat(aliveAt("entry-0-0", "region-0").contains(silent), is(false));
     rounds(suspected);
@@ -161,7 +161,7 @@
     startRegions(3, 3);
     assertThat(aliveAt("entry-0-0", "region-2").isEmpty(), is(false));
     nodes.keySet().stream().filter(id -> id.startsWith("entry-2")).forEach(frozen::add);
-    int silence = 2 * MemberTable.suspectIntervals(6) * MemberTable.OTHER_REGION_PATIENCE;
+    int silence = 2 * MemberTable.suspicionTimeoutIntervals(6) * MemberTable.OTHER_REGION_PATIENCE;
     rounds(silence + LATEST_NEWS_ROUNDS);
     assertThat(aliveAt("entry-0-0", "region-2"), is(empty()));
   }
@@ -171,12 +171,12 @@
     startRegions(13, 26);
     for (Node node : nodes.values()) {
       List<Gossiper.Outgoing> sent =
-          node.gossiper.round(new Gossiper.SelfReport(false, 1, Map.of()), node.table, now);
+          node.gossiper.nextMessages(new Gossiper.SelfReport(false, 1, Map.of()), node.table, now);
       int most = Gossiper.FANOUT + Gossiper.REGION_FANOUT + 1;
       assertThat(node.info.nodeId(), sent.size(), is(lessThanOrEqualTo(most)));
       for (Gossiper.Outgoing message : sent) {
         PeerMessage.Gossip gossip = message.gossip();
-        assertThat(gossip.signs().size(), is(lessThanOrEqualTo(32)));
+        assertThat(gossip.heartbeats().size(), is(lessThanOrEqualTo(32)));
       }
     }
   }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/peer/FrameCodecTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/peer/FrameCodecTest.java
@@ -26,7 +26,7 @@
 import org.lacewingcroft.endpoint.Endpoint;
 import org.lacewingcroft.endpoint.EndpointKind;
 import org.lacewingcroft.idempotency.Claimant;
-import org.lacewingcroft.membership.Liveness;
+import org.lacewingcroft.membership.Heartbeat;
 import org.lacewingcroft.membership.RegionDigest;
 
 class FrameCodecTest {
@@ -40,7 +40,7 @@
         new PeerMessage.Gossip(
             MEMBER,
             4,
-            List.of(new Liveness("n1", 7, 3, true)),
+            List.of(new Heartbeat("n1", 7, 3, true)),
             List.of(MEMBER),
             List.of(new RegionDigest("uusimaa", "n1", 8, List.of(MEMBER), Map.of("writer", 3))),
             true),
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/route/RouteTableTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/route/RouteTableTest.java
@@ -68,8 +68,8 @@
   void homesOfHostAreCommonToItsRoutes(String some, String others, String expected) {
     RouteTable table = table(withHomes("r", "/a/", some), withHomes("q", "/b/", others));
     assertThat(
-        String.join(" ", new TreeSet<>(table.homesOf("HOST.example:80"))), equalTo(expected));
-    assertThat(table.homesOf("other.example"), equalTo(Set.of()));
+        String.join(" ", new TreeSet<>(table.homeRegionsOf("HOST.example:80"))), equalTo(expected));
+    assertThat(table.homeRegionsOf("other.example"), equalTo(Set.of()));
   }
 
   private static Route withHomes(String name, String prefix, String homes) {
@@ -85,7 +85,7 @@
         plain.shares(),
         plain.maxAttempts(),
         plain.resumable(),
-        plain.pauseObjective(),
+        plain.eventGapObjective(),
         homes.isEmpty() ? Set.of() : Set.of(homes.split(" ")),
         false);
   }
@@ -116,7 +116,7 @@
   @CsvSource({"0.0, s", "0.89, s", "0.91, t", "0.9999, t"})
   void sharesFollowTheirWeights(double point, String expected) {
     Route route = route("r", "/a/", 1, new ServiceShare("s", 90), new ServiceShare("t", 10));
-    assertThat(route.pick(point), equalTo(expected));
+    assertThat(route.pickService(point), equalTo(expected));
   }
 
   private static Organisation organisation(String name, String... keys) {
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
@@ -300,7 +300,7 @@
 
   private static long suspected(Membership m) {
     Instant now = Instant.now();
-    return m.table().followed().stream()
+    return m.table().trackedMembers().stream()
         .filter(member -> m.table().status(member, now) != MemberStatus.ALIVE)
         .count();
   }
