--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardContext.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardContext.java
@@ -18,62 +18,68 @@
 import org.lacewingcroft.route.ServiceSpec;
 
 /**
- * What all calls of an entry share.
+ * Holds the dependencies shared by all {@link ForwardCall}s of an entry.
  *
  * @param vertx the Vert.x instance
- * @param node what the entry believes
- * @param connections the connections to endpoints and entries
- * @param names the deployment's header names
- * @param statements reads what endpoints state about themselves
- * @param hops marks requests passed to other entries
- * @param region this entry's region
+ * @param node the entry's view of the fleet: routes, endpoints, other entries
+ * @param connectionPool the connection pool for endpoints and other entries
+ * @param headerNames the header names of the deployment
+ * @param conditionsReader reads the conditions that endpoints advertise in their responses
+ * @param hopAuthenticator signs requests that are relayed to other entries
+ * @param region the region of this entry
  * @param metrics the metrics
- * @param clock the steady clock
- * @param open counts the calls under way
+ * @param clock a monotonic clock
+ * @param inFlight the number of requests in flight
  */
 record ForwardContext(
     Vertx vertx,
     EntryNode node,
-    UpstreamConnections connections,
-    HeaderNames names,
-    EndpointStatements statements,
-    HopAuthenticator hops,
+    UpstreamConnections connectionPool,
+    HeaderNames headerNames,
+    AdvertisedConditionsReader conditionsReader,
+    HopAuthenticator hopAuthenticator,
     String region,
     GatewayMetrics metrics,
     InstantSource clock,
-    AtomicInteger open) {
-  /** Carries the {@link Handling} of a relayed request. */
+    AtomicInteger inFlight) {
+  /** Header with the encoded {@link Handling} of a relayed request. */
   static final String HANDLING_HEADER = "X-Lacewingcroft-Handling";
 
-  /** Carries how many milliseconds are left until the final answer of a relayed request. */
-  static final String DUE_HEADER = "X-Lacewingcroft-Due-Millis";
+  /** Header with the time left until the response to a relayed request is due, in milliseconds. */
+  static final String DUE_MILLIS_HEADER = "X-Lacewingcroft-Due-Millis";
 
-  /** Headers between entries, in lower case; they reach neither endpoints nor callers. */
+  /** Headers used between entries only, in lower case; not passed on to endpoints or callers. */
   static final Set<String> RELAY_HEADERS =
       Set.of(
           HANDLING_HEADER.toLowerCase(Locale.ROOT),
-          DUE_HEADER.toLowerCase(Locale.ROOT),
-          CallerAnswer.NOT_RUN_HEADER.toLowerCase(Locale.ROOT),
+          DUE_MILLIS_HEADER.toLowerCase(Locale.ROOT),
+          CallerResponse.NOT_RUN_HEADER.toLowerCase(Locale.ROOT),
           HopAuthenticator.TAG_HEADER.toLowerCase(Locale.ROOT),
           CallerRequest.FORWARDED_HEADER.toLowerCase(Locale.ROOT));
 
-  /** Outcome of a request that an endpoint answered. */
+  /** The outcome of a request that got a response from an endpoint. */
   static final String SERVED = "served";
 
-  /** A pause after which another endpoint may have room: about one short request. */
-  private static final Duration SHORT_PAUSE = Duration.ofMillis(400);
+  /**
+   * Suggested retry delay for a request that endpoints refused: about the duration of one short
+   * request, after which an endpoint may have capacity.
+   */
+  private static final Duration SHORT_RETRY_AFTER = Duration.ofMillis(400);
 
-  private static final int RETRY_AFTER_DIVISOR = 3;
+  /** Limits the suggested retry delay to this fraction of the time left until the deadline. */
+  private static final int REMAINING_TIME_DIVISOR = 3;
 
   Instant now() {
     return clock.instant();
   }
 
-  long kvCapacity(String service) {
+  /** Returns the KV cache size of the service's engines in tokens, 0 for a plain service. */
+  long kvCapacityTokens(String service) {
     return engine(service).map(ServiceSpec.Engine::kvCapacityTokens).orElse(0L);
   }
 
-  int eventTokens(String service) {
+  /** Returns how many output tokens one stream event of the service carries. */
+  int tokensPerEvent(String service) {
     return engine(service).map(ServiceSpec.Engine::eventTokens).orElse(1);
   }
 
@@ -81,17 +87,23 @@
     return node.routing().table().engine(service);
   }
 
+  /** Returns a retry delay that leaves the caller time to retry before its deadline. */
   Duration shortRetryAfter(ForwardRequest request) {
-    Duration most =
-        Duration.between(now(), request.callerDeadline()).dividedBy(RETRY_AFTER_DIVISOR);
-    return most.compareTo(SHORT_PAUSE) < 0 ? most : SHORT_PAUSE;
+    Duration max =
+        Duration.between(now(), request.callerDeadline()).dividedBy(REMAINING_TIME_DIVISOR);
+    return max.compareTo(SHORT_RETRY_AFTER) < 0 ? max : SHORT_RETRY_AFTER;
   }
 
-  List<Map.Entry<String, String>> relayHeaders(ForwardRequest request, long leftMillis) {
+  /**
+   * Returns the headers that relay a request to another entry, including the hop signature.
+   *
+   * @param remainingMillis the time until the response is due
+   */
+  List<Map.Entry<String, String>> relayHeaders(ForwardRequest request, long remainingMillis) {
     List<Map.Entry<String, String>> headers = new ArrayList<>();
     headers.add(Map.entry(HANDLING_HEADER, request.handling().encodeForRelay()));
-    headers.add(Map.entry(DUE_HEADER, Long.toString(leftMillis)));
-    hops.mark(
+    headers.add(Map.entry(DUE_MILLIS_HEADER, Long.toString(remainingMillis)));
+    hopAuthenticator.mark(
         HopAuthenticator.Hop.ACROSS_REGIONS,
         region,
         request.id(),
@@ -99,8 +111,14 @@
     return headers;
   }
 
-  /** Counts a finished request. */
-  void count(int status, String outcome, long millis, long firstByteMillis) {
+  /**
+   * Records a finished request in the metrics.
+   *
+   * @param status the status sent to the caller, 0 if the caller has disconnected
+   * @param outcome {@link #SERVED} or the reason of the failure
+   * @param firstByteMillis the time to the response head, negative if none was received
+   */
+  void recordFinished(int status, String outcome, long millis, long firstByteMillis) {
     String label = "own_" + status;
     if (status == 0) {
       label = "caller_left";
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardRequest.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardRequest.java
@@ -17,23 +17,23 @@
 import org.lacewingcroft.request.RequestFingerprint;
 
 /**
- * A caller's request, read in full.
+ * A caller's request with its complete body.
  *
- * @param id its id
- * @param fingerprint names what it asks for, the same whenever it is sent again
- * @param sender the address that it came from: its caller's or, if relayed, an entry's
- * @param method its method
+ * @param id the request id
+ * @param fingerprint identifies the content; equal for every repetition of the same request
+ * @param sender the address of the peer: the caller or, if relayed, an entry
+ * @param method the HTTP method
  * @param uri path and query, unchanged
- * @param headers the headers to pass on
- * @param body its body
- * @param handling how it is to be handled
- * @param arrivedAt when its head was read
+ * @param headers the headers to forward
+ * @param body the complete body
+ * @param handling the rules that apply to the request
+ * @param arrivedAt when the request head was received
  * @param callerDeadline when the caller stops waiting
- * @param lastEventId the last event the caller has, if it resumes a stream
- * @param promptTokens the length of its prompt, 0 if it states none
- * @param outputTokens the most tokens of its answer, 0 if it states none
- * @param lengthHint the caller's estimate of the same, often far off, 0 if it states none
- * @param parts the prompt's parts
+ * @param lastEventId the last event the caller has received, if it resumes a stream
+ * @param promptTokens the length of the prompt, 0 if not declared
+ * @param maxOutputTokens the maximum number of output tokens, 0 if not declared
+ * @param lengthHint the caller's estimate of the output tokens, often inaccurate, 0 if not declared
+ * @param parts the parts of the prompt, which identify shared prefixes
  */
 record ForwardRequest(
     String id,
@@ -48,16 +48,20 @@
     Instant callerDeadline,
     OptionalLong lastEventId,
     long promptTokens,
-    long outputTokens,
+    long maxOutputTokens,
     long lengthHint,
     List<PromptPart> parts) {
-  /** The mean of an answer's length against its estimate, whose errors are log-normal. */
-  private static final double HINT_FACTOR = 1.2;
+  /**
+   * Ratio of the mean output length to the caller's estimate. The errors of estimates are
+   * log-normal: an estimate that is right in the median is below the mean.
+   */
+  private static final double MEAN_LENGTH_TO_HINT_RATIO = 1.2;
 
-  /** Share of the tokens allowed that an answer without an estimate is taken to use. */
-  private static final int UNHINTED_DIVISOR = 4;
+  /** Fraction of the maximum output tokens that a request without an estimate is assumed to use. */
+  private static final int DEFAULT_LENGTH_DIVISOR = 4;
 
-  private static final Set<String> CONNECTION_HEADERS =
+  /** Hop-by-hop headers and headers that HTTP clients generate, in lower case. */
+  private static final Set<String> HOP_BY_HOP_HEADERS =
       Set.of(
           "connection",
           "keep-alive",
@@ -71,52 +75,64 @@
           "expect",
           "content-length");
 
-  /** Returns when the final answer is due: the route's timeout or the caller's deadline. */
-  Instant answerDue() {
+  /**
+   * Returns when the response is due: at the route's timeout or the caller's deadline if earlier.
+   */
+  Instant responseDue() {
     Instant timeout = arrivedAt.plus(handling.timeout());
     return timeout.isBefore(callerDeadline) ? timeout : callerDeadline;
   }
 
   /**
-   * The tokens that the answer is expected to have. Callers' estimates are right in the median and
-   * often too low, the most that they allow is rarely used.
+   * Returns the expected number of output tokens. Callers' estimates are right in the median but
+   * often too low, and the declared maximum is rarely reached.
    */
-  private long answerTokens() {
+  private long expectedOutputTokens() {
     if (lengthHint == 0) {
-      return outputTokens / UNHINTED_DIVISOR;
+      return maxOutputTokens / DEFAULT_LENGTH_DIVISOR;
     }
-    long expected = Math.round(HINT_FACTOR * lengthHint);
-    return outputTokens == 0 ? expected : Math.min(outputTokens, expected);
+    long expected = Math.round(MEAN_LENGTH_TO_HINT_RATIO * lengthHint);
+    return maxOutputTokens == 0 ? expected : Math.min(maxOutputTokens, expected);
   }
 
-  /** Returns what placement needs to know of it now. */
-  PlacementRequest placement(Instant now, Set<String> passedOver) {
+  /**
+   * Returns the placement request for an attempt made now.
+   *
+   * @param excludedEndpoints the endpoints that must not be chosen
+   */
+  PlacementRequest toPlacementRequest(Instant now, Set<String> excludedEndpoints) {
     return new PlacementRequest(
         handling.service(),
         handling.priority(),
         promptTokens,
-        answerTokens(),
+        expectedOutputTokens(),
         parts,
-        handling.objective(),
-        Duration.between(now, answerDue()),
-        passedOver);
+        handling.firstByteObjective(),
+        Duration.between(now, responseDue()),
+        excludedEndpoints);
   }
 
-  /** Returns the headers that concern more than one connection, less those named. */
-  static List<Map.Entry<String, String>> endToEnd(MultiMap headers, Set<String> dropped) {
-    Set<String> skipped = new HashSet<>(dropped);
+  /**
+   * Returns the end-to-end headers: all except the hop-by-hop headers, those listed in {@code
+   * Connection}, and the given ones.
+   *
+   * @param droppedHeaders further headers to leave out, in lower case
+   */
+  static List<Map.Entry<String, String>> endToEndHeaders(
+      MultiMap headers, Set<String> droppedHeaders) {
+    Set<String> skipped = new HashSet<>(droppedHeaders);
     for (String value : headers.getAll("Connection")) {
       for (String name : value.split(",")) {
         skipped.add(name.trim().toLowerCase(Locale.ROOT));
       }
     }
-    List<Map.Entry<String, String>> kept = new ArrayList<>();
+    List<Map.Entry<String, String>> endToEnd = new ArrayList<>();
     for (Map.Entry<String, String> header : headers) {
       String name = header.getKey().toLowerCase(Locale.ROOT);
-      if (!CONNECTION_HEADERS.contains(name) && !skipped.contains(name)) {
-        kept.add(Map.entry(header.getKey(), header.getValue()));
+      if (!HOP_BY_HOP_HEADERS.contains(name) && !skipped.contains(name)) {
+        endToEnd.add(Map.entry(header.getKey(), header.getValue()));
       }
     }
-    return kept;
+    return endToEnd;
   }
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/Handling.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/Handling.java
@@ -10,19 +10,20 @@
 import org.lacewingcroft.route.RouteKind;
 
 /**
- * How one request is to be handled: its route's rules with the service picked. An entry that passes
- * a request to another region sends this along, so that both go by the same version of the route.
+ * The rules of the matched route as applied to one request, with the service selected. An entry
+ * that relays a request to another region sends them along, so that both entries apply the same
+ * version of the route.
  *
- * @param route the route's name
- * @param service the service that shall run it
- * @param kind what may be repeated
- * @param resumable whether a stream may go on elsewhere
- * @param priority how urgent it is in the queues of its service, 0 the most urgent
- * @param maxAttempts how many endpoints may run it
- * @param objective the time to the first byte that callers want
- * @param timeout the longest it may go without its final answer
- * @param regions regions that may run it; empty for any
- * @param organisation the organisation of its caller, empty if it showed no key
+ * @param route the name of the route
+ * @param service the service that runs the request
+ * @param kind whether the request may run more than once, and whether the response is a stream
+ * @param resumable whether a broken stream may be resumed at another endpoint
+ * @param priority the priority in the queues of the service, 0 is the most urgent
+ * @param maxAttempts how many endpoints may run the request
+ * @param firstByteObjective the target time to the first byte of the response
+ * @param timeout the maximum time until the response is complete
+ * @param allowedRegions the regions that may run the request, empty for any
+ * @param organisation the caller's organisation, empty if the request has no valid API key
  */
 record Handling(
     String route,
@@ -31,15 +32,20 @@
     boolean resumable,
     int priority,
     int maxAttempts,
-    Duration objective,
+    Duration firstByteObjective,
     Duration timeout,
-    Set<String> regions,
+    Set<String> allowedRegions,
     Optional<String> organisation) {
   private static final String SEPARATOR = ";";
-  private static final int FIELDS = 9;
+  private static final int FIELD_COUNT = 9;
 
+  /** Applies a route to a request. */
   static Handling of(
-      Route route, String service, int priority, Set<String> regions, Optional<String> caller) {
+      Route route,
+      String service,
+      int priority,
+      Set<String> allowedRegions,
+      Optional<String> organisation) {
     return new Handling(
         route.name(),
         service,
@@ -49,19 +55,24 @@
         route.maxAttempts(),
         route.latencyObjective(),
         route.timeout(),
-        regions,
-        caller);
+        allowedRegions,
+        organisation);
   }
 
-  boolean idempotent() {
+  /** Returns whether the request may run more than once. */
+  boolean isIdempotent() {
     return kind == RouteKind.IDEMPOTENT || kind == RouteKind.STREAM && resumable;
   }
 
-  boolean stream() {
+  /** Returns whether the response is an event stream. */
+  boolean isStream() {
     return kind == RouteKind.STREAM;
   }
 
-  /** The form in which it is sent to another entry, which runs the request once at most. */
+  /**
+   * Encodes this for the relay to another entry. The regions are left out: the receiving entry
+   * places the request in its own region only, and runs it at most once.
+   */
   String encodeForRelay() {
     return String.join(
         SEPARATOR,
@@ -71,20 +82,21 @@
         Boolean.toString(resumable),
         Integer.toString(priority),
         Integer.toString(maxAttempts),
-        Long.toString(objective.toMillis()),
+        Long.toString(firstByteObjective.toMillis()),
         Long.toString(timeout.toMillis()),
         URLEncoder.encode(organisation.orElse(""), StandardCharsets.UTF_8));
   }
 
   /**
-   * Reads the form sent by another entry.
+   * Decodes the form sent by another entry.
    *
-   * @throws IllegalArgumentException if it is not one
+   * @throws IllegalArgumentException if the text is malformed
    */
-  static Handling decodeRelayed(String text) {
+  static Handling decodeFromRelay(String text) {
     String[] fields = text.split(SEPARATOR, -1);
-    if (fields.length != FIELDS) {
-      throw new IllegalArgumentException("a relayed request needs " + FIELDS + " fields: " + text);
+    if (fields.length != FIELD_COUNT) {
+      throw new IllegalArgumentException(
+          "a relayed request needs " + FIELD_COUNT + " fields: " + text);
     }
     return new Handling(
         fields[0],
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/QuotaCharge.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/QuotaCharge.java
@@ -6,12 +6,12 @@
 import org.lacewingcroft.limit.FleetQuotas;
 import org.lacewingcroft.route.Organisation;
 
-/** What one request takes of its organisation's quota; given back if it has not run. */
+/** The charge of one request against the quota of its organisation; refunded if it has not run. */
 final class QuotaCharge {
   private final Optional<Organisation> organisation;
   private final long cost;
   private final FleetQuotas quotas;
-  private boolean taken;
+  private boolean charged;
 
   private QuotaCharge(Optional<Organisation> organisation, long cost, FleetQuotas quotas) {
     this.organisation = organisation;
@@ -20,34 +20,38 @@
   }
 
   /**
-   * Prepares a charge.
+   * Creates a charge; {@link #charge} applies it.
    *
    * @param organisation the caller's organisation, empty if nothing is to be charged
-   * @param statedTokens the tokens that the request states, 0 if none
+   * @param declaredTokens the prompt and output tokens declared by the request, 0 if none
    */
   static QuotaCharge of(
-      Optional<Organisation> organisation, long statedTokens, FleetQuotas quotas) {
+      Optional<Organisation> organisation, long declaredTokens, FleetQuotas quotas) {
     long cost =
-        organisation.flatMap(Organisation::quota).map(q -> q.costOf(statedTokens)).orElse(0L);
+        organisation.flatMap(Organisation::quota).map(q -> q.costOf(declaredTokens)).orElse(0L);
     return new QuotaCharge(organisation, cost, quotas);
   }
 
-  /** A request that another entry has charged. */
+  /** Creates an empty charge for a relayed request, which the sending entry has charged already. */
   static QuotaCharge none(FleetQuotas quotas) {
     return new QuotaCharge(Optional.empty(), 0, quotas);
   }
 
-  /** Takes it; returns empty, or when it may be taken. */
-  Optional<Duration> take(Instant now) {
-    Optional<Duration> refusedFor = organisation.flatMap(o -> quotas.charge(o, cost, now));
-    taken = refusedFor.isEmpty();
-    return refusedFor;
+  /**
+   * Charges the quota.
+   *
+   * @return empty if the quota was charged, otherwise the time until it may be
+   */
+  Optional<Duration> charge(Instant now) {
+    Optional<Duration> retryAfter = organisation.flatMap(o -> quotas.charge(o, cost, now));
+    charged = retryAfter.isEmpty();
+    return retryAfter;
   }
 
-  /** Gives it back, once. */
-  void giveBack() {
-    if (taken) {
-      taken = false;
+  /** Refunds the charge; further calls have no effect. */
+  void refund() {
+    if (charged) {
+      charged = false;
       organisation.ifPresent(o -> quotas.refund(o, cost));
     }
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/RequestLog.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/RequestLog.java
@@ -12,8 +12,8 @@
 import org.lacewingcroft.placement.Placement;
 
 /**
- * The log lines of one request: one for each decision about it, with what decided it. On-call
- * engineers follow a request from its id by them.
+ * Writes the log lines of one request: one for each decision, with the values that it was based on.
+ * All lines carry the request id, so that a request can be traced through the log.
  */
 final class RequestLog {
   private static final System.Logger LOG = System.getLogger(RequestLog.class.getName());
@@ -21,22 +21,22 @@
   private final ForwardRequest request;
 
   /**
-   * How a request ended.
+   * The result of a finished request.
    *
-   * @param outcome in words
-   * @param status the status answered, 0 if the caller had left
-   * @param servedBy the endpoint or entry whose answer it got
-   * @param targets how many targets it was sent to
+   * @param outcome a short description of the result
+   * @param status the status sent to the caller, 0 if the caller had disconnected
+   * @param servedBy the endpoint or entry whose response was sent, {@code none} if there was none
+   * @param sends how many times the request was sent
    * @param mayHaveRun whether an endpoint may have run it
-   * @param lastEvent the last event passed on, of a stream
-   * @param firstByteMillis until the answer's head was here, -1 if it never was
-   * @param millis in all
+   * @param lastEvent the id of the last event passed on, if the response is a stream
+   * @param firstByteMillis the time from arrival to the response head, -1 if none was received
+   * @param millis the time from arrival to the end
    */
-  record End(
+  record Summary(
       String outcome,
       int status,
       String servedBy,
-      int targets,
+      int sends,
       boolean mayHaveRun,
       OptionalLong lastEvent,
       long firstByteMillis,
@@ -46,8 +46,15 @@
     this.request = request;
   }
 
-  /** It goes to an endpoint of this region. */
-  void placed(Placement.ToEndpoint here, long readTokens, int attempt, long revision, Instant now) {
+  /**
+   * Logs that the request is sent to an endpoint of this region.
+   *
+   * @param prefillTokens the prompt tokens that the endpoint has to prefill
+   * @param attempt the number of this send, from 1
+   * @param revision the revision of the routing state
+   */
+  void logPlaced(
+      Placement.ToEndpoint placement, long prefillTokens, int attempt, long revision, Instant now) {
     write(
         "request.placed",
         "fingerprint",
@@ -57,29 +64,34 @@
         "service",
         request.handling().service(),
         "target",
-        here.endpoint().record().id(),
+        placement.endpoint().record().id(),
         "expectedMillis",
-        Math.round(here.expectedMillis()),
+        Math.round(placement.expectedMillis()),
         "tokenMillis",
-        Math.round(here.tokenMillis()),
+        Math.round(placement.tokenMillis()),
         "readTokens",
-        readTokens,
+        prefillTokens,
         "fetchFrom",
-        here.fetch().map(f -> f.source().record().id()).orElse("none"),
+        placement.fetch().map(f -> f.source().record().id()).orElse("none"),
         "fetchTokens",
-        here.fetch().map(Placement.PrefixFetch::tokens).orElse(0L),
+        placement.fetch().map(Placement.PrefixFetch::tokens).orElse(0L),
         "rateLimit",
-        orNone(here.endpoint().rateLimit().perSecond()),
+        orNone(placement.endpoint().rateLimit().perSecond()),
         "pauseLeftMillis",
-        here.endpoint().conditions().remainingPause(now).toMillis(),
+        placement.endpoint().conditions().remainingPause(now).toMillis(),
         "try",
         attempt,
         "revision",
         revision);
   }
 
-  /** It goes to an entry of another region. */
-  void relayed(EntryInfo entry, Placement.ToRegion elsewhere, int attempt, long revision) {
+  /**
+   * Logs that the request is relayed to an entry of another region.
+   *
+   * @param attempt the number of this send, from 1
+   * @param revision the revision of the routing state
+   */
+  void logRelayed(EntryInfo entry, Placement.ToRegion placement, int attempt, long revision) {
     write(
         "request.placed",
         "fingerprint",
@@ -91,18 +103,23 @@
         "target",
         entry.name(),
         "region",
-        elsewhere.region(),
+        placement.region(),
         "expectedMillis",
-        Math.round(elsewhere.expectedMillis()),
+        Math.round(placement.expectedMillis()),
         "try",
         attempt,
         "revision",
         revision);
   }
 
-  /** It is turned away. */
-  void refused(Placement.Refused refused, Set<String> passedOver, long revision) {
-    Placement.RefusalDetails evidence = refused.evidence();
+  /**
+   * Logs that placement refused the request.
+   *
+   * @param excludedTargets the targets excluded for this request
+   * @param revision the revision of the routing state
+   */
+  void logRefused(Placement.Refused refused, Set<String> excludedTargets, long revision) {
+    Placement.RefusalDetails details = refused.evidence();
     write(
         "request.refused",
         "service",
@@ -110,25 +127,25 @@
         "reason",
         refused.reason(),
         "waitHereMillis",
-        orNone(evidence.localWaitMillis()),
+        orNone(details.localWaitMillis()),
         "waitElsewhereMillis",
-        orNone(evidence.remoteWaitMillis()),
+        orNone(details.remoteWaitMillis()),
         "patienceMillis",
-        evidence.maxWaitMillis(),
+        details.maxWaitMillis(),
         "retryAfterMillis",
         refused.retryAfter().toMillis(),
         "passedOver",
-        passedOver,
+        excludedTargets,
         "revision",
         revision);
   }
 
   /**
-   * It is turned away because its content ends the endpoints that run it.
+   * Logs that the request is refused because its content crashes the endpoints that run it.
    *
-   * @param remaining how long the content is still quarantined
+   * @param remaining how long the content stays quarantined
    */
-  void quarantined(Duration remaining) {
+  void logQuarantined(Duration remaining) {
     write(
         "request.refused",
         "fingerprint",
@@ -144,16 +161,15 @@
   }
 
   /**
-   * A target did not answer it in full.
+   * Logs an attempt without a complete response.
    *
-   * @param target the target
-   * @param what in a word
+   * @param failure the class of the failure, as in the metric of failed attempts
    * @param detail what was observed
-   * @param lastEvent the last event passed on, of a stream
-   * @param now the time, by which the target's state is told
+   * @param lastEvent the id of the last event passed on, if the response is a stream
+   * @param now the time for which the endpoint's load is logged
    */
-  void tryFailed(
-      UpstreamTarget target, String what, String detail, OptionalLong lastEvent, Instant now) {
+  void logAttemptFailed(
+      UpstreamTarget target, String failure, String detail, OptionalLong lastEvent, Instant now) {
     Optional<EndpointTracker> endpoint = target.endpoint();
     write(
         "request.try_failed",
@@ -162,52 +178,52 @@
         "target",
         target.name(),
         "what",
-        what,
+        failure,
         "detail",
         detail,
         "lastEvent",
         orNone(lastEvent),
         "sentMillisAgo",
-        target.ticket().map(t -> Duration.between(t.sentAt(), now).toMillis()).orElse(-1L),
+        target.inFlightRequest().map(r -> Duration.between(r.sentAt(), now).toMillis()).orElse(-1L),
         "running",
         endpoint.map(e -> e.allRunning(now)).orElse(-1),
         "cold",
         endpoint.map(e -> e.isCold(now)).orElse(false));
   }
 
-  /** It has its final answer, or its caller has left. */
-  void finished(End end) {
+  /** Logs the end of the request: the response was sent or aborted, or the caller disconnected. */
+  void logFinished(Summary summary) {
     write(
         "request.finished",
         "outcome",
-        end.outcome(),
+        summary.outcome(),
         "status",
-        end.status(),
+        summary.status(),
         "endpoint",
-        end.servedBy(),
+        summary.servedBy(),
         "targets",
-        end.targets(),
+        summary.sends(),
         "mayHaveRun",
-        end.mayHaveRun(),
+        summary.mayHaveRun(),
         "promptTokens",
         request.promptTokens(),
         "outputTokens",
-        request.outputTokens(),
+        request.maxOutputTokens(),
         "lengthHint",
         request.lengthHint(),
         "lastEvent",
-        orNone(end.lastEvent()),
+        orNone(summary.lastEvent()),
         "firstByteMillis",
-        end.firstByteMillis(),
+        summary.firstByteMillis(),
         "millis",
-        end.millis());
+        summary.millis());
   }
 
-  /** Writes a line that begins with the request's id and route. */
-  private void write(String event, Object... namesAndValues) {
-    Object[] head = {"request", request.id(), "route", request.handling().route()};
-    Object[] line = Arrays.copyOf(head, head.length + namesAndValues.length);
-    System.arraycopy(namesAndValues, 0, line, head.length, namesAndValues.length);
+  /** Writes a line that starts with the request id and the route. */
+  private void write(String event, Object... keysAndValues) {
+    Object[] prefix = {"request", request.id(), "route", request.handling().route()};
+    Object[] line = Arrays.copyOf(prefix, prefix.length + keysAndValues.length);
+    System.arraycopy(keysAndValues, 0, line, prefix.length, keysAndValues.length);
     LOG.log(System.Logger.Level.INFO, event, line);
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/RequestReader.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/RequestReader.java
@@ -16,58 +16,60 @@
 import org.lacewingcroft.placement.PromptPart;
 import org.lacewingcroft.request.RequestFingerprint;
 
-/** Turns a received HTTP request into a {@link ForwardRequest}. */
+/** Converts a received HTTP request into a {@link ForwardRequest}. */
 final class RequestReader {
-  /** Wait granted to callers that state no deadline. */
-  private static final Duration DEFAULT_DEADLINE = Duration.ofSeconds(30);
+  /** Used for requests without a deadline header. */
+  private static final Duration DEFAULT_TIMEOUT = Duration.ofSeconds(30);
 
-  private final HeaderNames names;
-  private final Set<String> dropped;
-  private final Set<String> droppedWithKeys;
+  private final HeaderNames headerNames;
+  private final Set<String> droppedHeaders;
+  private final Set<String> droppedHeadersAndApiKey;
 
-  RequestReader(HeaderNames names) {
-    this.names = names;
-    this.dropped = new HashSet<>(names.reservedHeaders());
-    this.dropped.addAll(ForwardContext.RELAY_HEADERS);
-    this.droppedWithKeys = new HashSet<>(dropped);
-    this.droppedWithKeys.add(HttpHeaders.AUTHORIZATION.toString().toLowerCase(Locale.ROOT));
+  RequestReader(HeaderNames headerNames) {
+    this.headerNames = headerNames;
+    this.droppedHeaders = new HashSet<>(headerNames.reservedHeaders());
+    this.droppedHeaders.addAll(ForwardContext.RELAY_HEADERS);
+    this.droppedHeadersAndApiKey = new HashSet<>(droppedHeaders);
+    this.droppedHeadersAndApiKey.add(HttpHeaders.AUTHORIZATION.toString().toLowerCase(Locale.ROOT));
   }
 
   /**
-   * Reads a request.
+   * Creates the request to forward from the request head and the complete body.
    *
-   * @param keysNeeded whether its key is for this system and goes no further
+   * @param dropApiKey whether the {@code Authorization} header carries an API key of this gateway,
+   *     which must not be forwarded
    */
   ForwardRequest read(
       HttpServerRequest request,
       Buffer body,
       Handling handling,
       Instant arrivedAt,
-      boolean keysNeeded) {
+      boolean dropApiKey) {
     MultiMap headers = request.headers();
-    Duration patience =
-        numbers(headers.get(names.deadlineMillis())).stream()
+    Duration timeout =
+        parseNumbers(headers.get(headerNames.deadlineMillis())).stream()
             .findFirst()
             .map(Duration::ofMillis)
-            .orElse(DEFAULT_DEADLINE);
-    List<Long> usage = numbers(headers.get(names.tokenUsage()));
-    List<Long> lastEvent = numbers(headers.get(names.lastEventId()));
+            .orElse(DEFAULT_TIMEOUT);
+    List<Long> tokenUsage = parseNumbers(headers.get(headerNames.tokenUsage()));
+    List<Long> lastEventId = parseNumbers(headers.get(headerNames.lastEventId()));
     return new ForwardRequest(
-        headers.get(names.requestId()),
+        headers.get(headerNames.requestId()),
         fingerprint(request, body),
         request.remoteAddress().hostAddress(),
         request.method(),
         request.uri(),
-        ForwardRequest.endToEnd(headers, keysNeeded ? droppedWithKeys : dropped),
+        ForwardRequest.endToEndHeaders(
+            headers, dropApiKey ? droppedHeadersAndApiKey : droppedHeaders),
         body,
         handling,
         arrivedAt,
-        arrivedAt.plus(patience),
-        lastEvent.isEmpty() ? OptionalLong.empty() : OptionalLong.of(lastEvent.get(0)),
-        usage.isEmpty() ? 0 : usage.get(0),
-        usage.size() < 2 ? 0 : usage.get(1),
-        numbers(headers.get(names.lengthHint())).stream().findFirst().orElse(0L),
-        parts(headers.get(names.promptParts())));
+        arrivedAt.plus(timeout),
+        lastEventId.isEmpty() ? OptionalLong.empty() : OptionalLong.of(lastEventId.get(0)),
+        tokenUsage.isEmpty() ? 0 : tokenUsage.get(0),
+        tokenUsage.size() < 2 ? 0 : tokenUsage.get(1),
+        parseNumbers(headers.get(headerNames.lengthHint())).stream().findFirst().orElse(0L),
+        parsePromptParts(headers.get(headerNames.promptParts())));
   }
 
   private static RequestFingerprint fingerprint(HttpServerRequest request, Buffer body) {
@@ -75,8 +77,11 @@
     return RequestFingerprint.of(request.method().name(), host, request.uri(), body.getBytes());
   }
 
-  /** Reads comma-separated whole numbers; what is not one ends the list. */
-  private static List<Long> numbers(String text) {
+  /**
+   * Parses comma-separated non-negative integers of at most 15 digits. Stops at the first field
+   * that is not one and returns the numbers before it.
+   */
+  private static List<Long> parseNumbers(String text) {
     List<Long> numbers = new ArrayList<>();
     if (text != null) {
       for (String field : text.split(",")) {
@@ -90,16 +95,20 @@
     return numbers;
   }
 
-  private static List<PromptPart> parts(String text) {
+  /**
+   * Parses prompt parts, {@code id:tokens} separated by commas. Returns an empty list if any part
+   * is malformed.
+   */
+  private static List<PromptPart> parsePromptParts(String text) {
     List<PromptPart> parts = new ArrayList<>();
     if (text != null) {
-      for (String entry : text.split(",")) {
-        int colon = entry.indexOf(':');
-        List<Long> tokens = colon < 0 ? List.of() : numbers(entry.substring(colon + 1));
+      for (String field : text.split(",")) {
+        int colon = field.indexOf(':');
+        List<Long> tokens = colon < 0 ? List.of() : parseNumbers(field.substring(colon + 1));
         if (tokens.isEmpty()) {
           return List.of();
         }
-        parts.add(new PromptPart(entry.substring(0, colon).trim(), tokens.get(0)));
+        parts.add(new PromptPart(field.substring(0, colon).trim(), tokens.get(0)));
       }
     }
     return parts;
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/CrashingRequestTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/CrashingRequestTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.lacewingcroft.forward.FragileEndpoints.Fault;
+import org.lacewingcroft.forward.FaultyEndpoints.Fault;
 import org.lacewingcroft.route.RequestLimits;
 import org.lacewingcroft.route.Route;
 import org.lacewingcroft.route.RouteKind;
@@ -34,37 +34,41 @@
 import org.lacewingcroft.route.ServiceSpec;
 
 /**
- * On a deployment of nine engines eight to eleven of them ended within twelve seconds, three times.
- * The same request came again and again under new ids, at any entry, and each engine that began to
- * run it ended, with the nine to sixteen requests that ran there. Entries held an engine's end
- * against the engine only and knew a request no longer than one call, so each arrival was placed
- * anew; idempotent ones were even sent to a second engine by the entry itself.
+ * Checks that content that crashes endpoints is quarantined. The same request arrives repeatedly
+ * under new ids at any entry, and each engine that starts to run it crashes, together with all
+ * other requests that it runs (9 to 16). Entries that attribute a crash to the engine only, and
+ * retain nothing about a request after its call, place each arrival again and even send idempotent
+ * requests to a second engine: in a deployment of nine engines, eight to eleven crashes occurred
+ * within twelve seconds, three times.
  *
- * <p>It was not load: the engines were warm and ran 9, 13 and 16 of 32 requests, and all 38 that
- * were lost with three of them were on their first try. Fingerprints in the log settled the rest.
- * Where engines crash by chance each content meets one that breaks off; here, one meets them all:
+ * <p>The cause is the content, not load: the engines were warm and ran 9, 13 and 16 of 32 possible
+ * requests, and all 38 requests that were lost with three of them were on their first attempt. The
+ * fingerprints in the log distinguish this from random crashes: there each content is interrupted
+ * at one endpoint, here a single content is interrupted at all of them:
  *
  * <pre>
  * request.try_failed fingerprint f02f18840fe4537e target once-i1 what broken cold false running 0
  * request.try_failed fingerprint f02f18840fe4537e target once-i2 what broken cold false running 0
  * </pre>
  *
- * <p>Without a quarantine twelve further calls reached endpoints 11 to 18 times.
+ * <p>Without a quarantine, twelve further calls reached endpoints 11 to 18 times.
  */
 class CrashingRequestTest {
-  /** Endpoints that may end before a request is told apart from the endpoints' own failures. */
-  private static final int TOLERATED_ENDS = 3;
+  /**
+   * Crashes needed to distinguish content that crashes endpoints from failures of the endpoints.
+   */
+  private static final int TOLERATED_CRASHES = 3;
 
-  /** How long entries may take to hear of the last of these. */
-  private static final Duration SPREAD = Duration.ofSeconds(5);
+  /** Maximum time until all entries have received the report of the last of these crashes. */
+  private static final Duration MAX_PROPAGATION_TIME = Duration.ofSeconds(5);
 
-  /** Sends that may reach an endpoint after that. */
+  /** Number of sends that may still reach an endpoint after that. */
   private static final int TOLERATED_SENDS = 3;
 
   private static final int SENDS_AFTERWARDS = 12;
-  private static final Duration PATIENCE = Duration.ofSeconds(20);
-  private static final Duration PAUSE = Duration.ofMillis(60);
-  private static final Duration TIMEOUT = Duration.ofMillis(1_200);
+  private static final Duration AWAIT_TIMEOUT = Duration.ofSeconds(20);
+  private static final Duration CALL_INTERVAL = Duration.ofMillis(60);
+  private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(1_200);
   private static final HttpClient CLIENT = HttpClient.newHttpClient();
   private static final AtomicInteger REQUESTS = new AtomicInteger();
 
@@ -72,29 +76,29 @@
   private static FleetHarness fleet;
   private static final List<FleetHarness.Entry> ENTRIES = new ArrayList<>();
 
-  /** What the sender does. */
-  enum Sender {
-    /** It waits for the answer. */
+  /** How the caller of a poison request behaves. */
+  enum CallerBehaviour {
+    /** Waits for the response. */
     WAITS,
-    /** It leaves as soon as an endpoint has the request. */
+    /** Disconnects as soon as an endpoint has received the request. */
     LEAVES
   }
 
   /**
-   * A row: the kind of request, the regions of the endpoints that may run it, how these fail, and
-   * what the sender does.
+   * A test case: the kind of request, the regions of the endpoints that may run it, how the
+   * endpoints fail, and how the caller behaves.
    */
-  record Row(
+  record TestCase(
       String service,
       RouteKind kind,
       boolean resumable,
       int attempts,
       List<String> regions,
       Fault fault,
-      Sender sender) {
-    private Row(
+      CallerBehaviour caller) {
+    private TestCase(
         String service, RouteKind kind, boolean resumable, int attempts, List<String> regions) {
-      this(service, kind, resumable, attempts, regions, Fault.CRASH, Sender.WAITS);
+      this(service, kind, resumable, attempts, regions, Fault.CRASH, CallerBehaviour.WAITS);
     }
 
     private boolean streams() {
@@ -107,51 +111,77 @@
     }
   }
 
-  static Stream<Row> rows() {
+  static Stream<TestCase> detectableCrashes() {
     List<String> north = List.of("north", "north", "north");
     List<String> both = List.of("north", "north", "south");
     return Stream.of(
-        new Row("once", RouteKind.AT_MOST_ONCE, false, 1, north),
-        new Row("sent-again", RouteKind.IDEMPOTENT, false, 2, north),
-        new Row("stream", RouteKind.STREAM, false, 1, north),
-        new Row("resumable-stream", RouteKind.STREAM, true, 2, north),
-        new Row("two-regions", RouteKind.AT_MOST_ONCE, false, 1, both),
-        new Row("other-region", RouteKind.AT_MOST_ONCE, false, 1, List.of("south", "south")));
+        new TestCase("once", RouteKind.AT_MOST_ONCE, false, 1, north),
+        new TestCase("sent-again", RouteKind.IDEMPOTENT, false, 2, north),
+        new TestCase("stream", RouteKind.STREAM, false, 1, north),
+        new TestCase("resumable-stream", RouteKind.STREAM, true, 2, north),
+        new TestCase("two-regions", RouteKind.AT_MOST_ONCE, false, 1, both),
+        new TestCase("other-region", RouteKind.AT_MOST_ONCE, false, 1, List.of("south", "south")));
   }
 
   /**
-   * Ends that no entry sees on a connection of the request: the endpoint falls silent for good, or
-   * ends just after the sender has left and the entry has closed the connection. Only the
-   * endpoint's missing announcements tell of them ("endpoint.changed", state LOST), seconds later,
-   * when the entry has given the request up. A quarantine that counted closed connections alone let
-   * 9 to 17 runs through in each row.
+   * Crashes that no entry can detect on a connection of the request: the endpoint becomes
+   * unresponsive, or crashes just after the caller has disconnected and the entry has closed the
+   * connection. They are only detected by missed announcements ("endpoint.changed", state LOST),
+   * seconds later, when the entry has already abandoned the request. A quarantine that counts only
+   * closed connections lets 9 to 17 runs through in each of these cases.
    */
-  static Stream<Row> unseenEnds() {
+  static Stream<TestCase> undetectableCrashes() {
     List<String> north = List.of("north", "north", "north");
     List<String> both = List.of("north", "north", "south");
     return Stream.of(
-        new Row("silent", RouteKind.AT_MOST_ONCE, false, 1, north, Fault.SILENCE, Sender.WAITS),
-        new Row("silent-again", RouteKind.IDEMPOTENT, false, 2, both, Fault.SILENCE, Sender.WAITS),
-        new Row("left", RouteKind.AT_MOST_ONCE, false, 1, north, Fault.CRASH, Sender.LEAVES),
-        new Row("left-silent", RouteKind.STREAM, false, 1, north, Fault.SILENCE, Sender.LEAVES));
+        new TestCase(
+            "silent",
+            RouteKind.AT_MOST_ONCE,
+            false,
+            1,
+            north,
+            Fault.SILENCE,
+            CallerBehaviour.WAITS),
+        new TestCase(
+            "silent-again",
+            RouteKind.IDEMPOTENT,
+            false,
+            2,
+            both,
+            Fault.SILENCE,
+            CallerBehaviour.WAITS),
+        new TestCase(
+            "left", RouteKind.AT_MOST_ONCE, false, 1, north, Fault.CRASH, CallerBehaviour.LEAVES),
+        new TestCase(
+            "left-silent",
+            RouteKind.STREAM,
+            false,
+            1,
+            north,
+            Fault.SILENCE,
+            CallerBehaviour.LEAVES));
   }
 
   @BeforeAll
   static void start() throws Exception {
     List<Route> routes = new ArrayList<>();
     List<ServiceSpec> services = new ArrayList<>();
-    for (Row row : Stream.concat(rows(), unseenEnds()).toList()) {
+    for (TestCase testCase : Stream.concat(detectableCrashes(), undetectableCrashes()).toList()) {
       routes.add(
           FleetHarness.routeTo(
-              row.service(), row.kind(), row.resumable(), row.attempts(), TIMEOUT));
-      services.add(FleetHarness.serviceNamed(row.service()));
+              testCase.service(),
+              testCase.kind(),
+              testCase.resumable(),
+              testCase.attempts(),
+              REQUEST_TIMEOUT));
+      services.add(FleetHarness.serviceNamed(testCase.service()));
     }
     RouteTable table = new RouteTable(1, routes, services, RequestLimits.DEFAULT);
     fleet = new FleetHarness(folder.resolve("data"), Map.of(1L, table));
     ENTRIES.add(fleet.startEntry("north-1", "north"));
     ENTRIES.add(fleet.startEntry("north-2", "north"));
     ENTRIES.add(fleet.startEntry("south-1", "south"));
-    fleet.route(1);
+    fleet.activateRouteTable(1);
     fleet.announce("anywhere", "other", "north", 1, 1);
     for (FleetHarness.Entry entry : ENTRIES) {
       fleet.awaitReady(entry);
@@ -164,81 +194,86 @@
   }
 
   @ParameterizedTest
-  @MethodSource("rows")
-  void contentThatEndsEndpointsIsNotRunAgainAndAgain(Row row) throws Exception {
-    sendAgainAndAgain(row);
+  @MethodSource("detectableCrashes")
+  void contentThatCrashesEndpointsIsQuarantined(TestCase testCase) throws Exception {
+    assertQuarantinedAfterCrashes(testCase);
   }
 
   @ParameterizedTest
-  @MethodSource("unseenEnds")
-  void contentThatEndsEndpointsUnseenIsNotRunAgainAndAgain(Row row) throws Exception {
-    sendAgainAndAgain(row);
+  @MethodSource("undetectableCrashes")
+  void contentOfUndetectableCrashesIsQuarantined(TestCase testCase) throws Exception {
+    assertQuarantinedAfterCrashes(testCase);
   }
 
-  private static void sendAgainAndAgain(Row row) throws Exception {
-    try (FragileEndpoints endpoints =
-        new FragileEndpoints(fleet, row.service(), row.regions(), row.streams(), row.fault())) {
+  private static void assertQuarantinedAfterCrashes(TestCase testCase) throws Exception {
+    try (FaultyEndpoints endpoints =
+        new FaultyEndpoints(
+            fleet, testCase.service(), testCase.regions(), testCase.streams(), testCase.fault())) {
       for (FleetHarness.Entry entry : ENTRIES) {
-        fleet.awaitEndpoints(entry, row.service(), row.regions().size());
+        fleet.awaitEndpoints(entry, testCase.service(), testCase.regions().size());
       }
-      Instant end = Instant.now().plus(PATIENCE);
-      while (endpoints.ends() < TOLERATED_ENDS && Instant.now().isBefore(end)) {
-        sendPoison(row, endpoints);
+      Instant deadline = Instant.now().plus(AWAIT_TIMEOUT);
+      while (endpoints.crashes() < TOLERATED_CRASHES && Instant.now().isBefore(deadline)) {
+        sendPoison(testCase, endpoints);
       }
-      assertThat(endpoints.ends(), greaterThanOrEqualTo(TOLERATED_ENDS));
-      awaitRefusals(row, endpoints);
+      assertThat(endpoints.crashes(), greaterThanOrEqualTo(TOLERATED_CRASHES));
+      awaitRefusals(testCase, endpoints);
       int runsBefore = endpoints.poisonRuns();
       for (int i = 0; i < SENDS_AFTERWARDS; i++) {
-        awaitServed(row, "innocent");
-        sendPoison(row, endpoints);
+        awaitServed(testCase, "innocent");
+        sendPoison(testCase, endpoints);
       }
       assertThat(endpoints.poisonRuns() - runsBefore, lessThanOrEqualTo(TOLERATED_SENDS));
     }
   }
 
-  /** Waits until no entry sends the request to an endpoint any more, at most for the spread. */
-  private static void awaitRefusals(Row row, FragileEndpoints endpoints) throws Exception {
-    Instant end = Instant.now().plus(SPREAD);
-    int refusedInTurn = 0;
-    while (refusedInTurn < ENTRIES.size() && Instant.now().isBefore(end)) {
+  /**
+   * Waits, for at most {@link #MAX_PROPAGATION_TIME}, until no entry sends the request to an
+   * endpoint any more.
+   */
+  private static void awaitRefusals(TestCase testCase, FaultyEndpoints endpoints) throws Exception {
+    Instant deadline = Instant.now().plus(MAX_PROPAGATION_TIME);
+    int consecutiveRefusals = 0;
+    while (consecutiveRefusals < ENTRIES.size() && Instant.now().isBefore(deadline)) {
       int runsBefore = endpoints.poisonRuns();
-      awaitServed(row, "innocent");
-      sendPoison(row, endpoints);
-      refusedInTurn = endpoints.poisonRuns() == runsBefore ? refusedInTurn + 1 : 0;
+      awaitServed(testCase, "innocent");
+      sendPoison(testCase, endpoints);
+      consecutiveRefusals = endpoints.poisonRuns() == runsBefore ? consecutiveRefusals + 1 : 0;
     }
   }
 
-  /** Waits until another content of the same route is served. */
-  private static void awaitServed(Row row, String body) throws Exception {
-    Instant end = Instant.now().plus(PATIENCE);
+  /** Waits until a request with other content on the same route is served. */
+  private static void awaitServed(TestCase testCase, String body) throws Exception {
+    Instant deadline = Instant.now().plus(AWAIT_TIMEOUT);
     int status = 0;
-    while (status != 200 && Instant.now().isBefore(end)) {
-      status = callAtNextEntry(row, body);
+    while (status != 200 && Instant.now().isBefore(deadline)) {
+      status = callAtNextEntry(testCase, body);
     }
-    assertThat("another content of the same route", status, is(200));
+    assertThat("other content on the same route", status, is(200));
   }
 
-  private static void sendPoison(Row row, FragileEndpoints endpoints) throws Exception {
-    if (row.sender() == Sender.WAITS) {
-      callAtNextEntry(row, FragileEndpoints.POISON);
+  private static void sendPoison(TestCase testCase, FaultyEndpoints endpoints) throws Exception {
+    if (testCase.caller() == CallerBehaviour.WAITS) {
+      callAtNextEntry(testCase, FaultyEndpoints.POISON);
     } else {
-      sendAndLeave(row, endpoints);
+      sendAndDisconnect(testCase, endpoints);
     }
   }
 
-  /** Leaves once an endpoint has the request or the entry has answered. */
-  private static void sendAndLeave(Row row, FragileEndpoints endpoints) throws Exception {
+  /** Disconnects once an endpoint has received the request or the entry has responded. */
+  private static void sendAndDisconnect(TestCase testCase, FaultyEndpoints endpoints)
+      throws Exception {
     int number = REQUESTS.incrementAndGet();
     int runsBefore = endpoints.poisonRuns();
-    TimeUnit.MILLISECONDS.sleep(PAUSE.toMillis());
-    String body = FragileEndpoints.POISON;
+    TimeUnit.MILLISECONDS.sleep(CALL_INTERVAL.toMillis());
+    String body = FaultyEndpoints.POISON;
     String request =
         String.join(
             "\r\n",
-            "POST /" + row.service() + "/x HTTP/1.1",
+            "POST /" + testCase.service() + "/x HTTP/1.1",
             "Host: 127.0.0.1",
             "X-Request-Id: id-" + number,
-            "X-Deadline: " + TIMEOUT.toMillis(),
+            "X-Deadline: " + REQUEST_TIMEOUT.toMillis(),
             "Content-Length: " + body.length(),
             "",
             body);
@@ -257,22 +292,22 @@
     return ENTRIES.get(number % ENTRIES.size());
   }
 
-  /** Sends a request under a new id; returns the status, 0 if the connection broke. */
-  private static int callAtNextEntry(Row row, String body) throws InterruptedException {
+  /** Sends a request under a new id; returns the status, 0 if the connection was lost. */
+  private static int callAtNextEntry(TestCase testCase, String body) throws InterruptedException {
     int number = REQUESTS.incrementAndGet();
     String target =
-        "http://127.0.0.1:" + nextEntry(number).publicPort() + "/" + row.service() + "/x";
+        "http://127.0.0.1:" + nextEntry(number).publicPort() + "/" + testCase.service() + "/x";
     HttpRequest request =
         HttpRequest.newBuilder(URI.create(target))
             .POST(HttpRequest.BodyPublishers.ofString(body))
             .header("X-Request-Id", "id-" + number)
-            .header("X-Deadline", Long.toString(TIMEOUT.toMillis()))
-            .timeout(TIMEOUT.plus(TIMEOUT))
+            .header("X-Deadline", Long.toString(REQUEST_TIMEOUT.toMillis()))
+            .timeout(REQUEST_TIMEOUT.plus(REQUEST_TIMEOUT))
             .build();
-    TimeUnit.MILLISECONDS.sleep(PAUSE.toMillis());
+    TimeUnit.MILLISECONDS.sleep(CALL_INTERVAL.toMillis());
     try {
       return CLIENT.send(request, HttpResponse.BodyHandlers.ofString()).statusCode();
-    } catch (IOException broken) {
+    } catch (IOException connectionLost) {
       return 0;
     }
   }
