--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/ApplyCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/ApplyCommand.java
@@ -13,10 +13,10 @@
 import picocli.CommandLine.Option;
 
 /**
- * Applies a selectors document through the control role, with a client change id (so a resend is
- * applied once) and an expected version (so racing changes cannot both win).
+ * Applies a selectors document through a control instance. The change id makes a resend idempotent,
+ * and the expected version makes the second of two concurrent changes fail.
  */
-@Command(name = "apply", description = "Apply a selectors document through the control role.")
+@Command(name = "apply", description = "Apply a selectors document through a control daemon.")
 final class ApplyCommand implements Callable<Integer> {
   @Option(names = "-f", required = true, description = "the YAML document")
   Path file;
@@ -31,10 +31,12 @@
 
   @Option(
       names = "--expected-version",
-      description = "version the change is based on; default: the one in force now")
+      description = "version that the change is based on; default: the active one")
   Long expectedVersion;
 
-  @Option(names = "--change-id", description = "client change id; default: a new UUID")
+  @Option(
+      names = "--change-id",
+      description = "change id for idempotent resends; default: a new UUID")
   String changeId;
 
   private void check(String document) {
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/BenchCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/BenchCommand.java
@@ -2,10 +2,10 @@
 
 import picocli.CommandLine.Command;
 
-/** The load and experiment tool's command group. */
+/** Groups the benchmark commands. */
 @Command(
     name = "bench",
-    description = "Load and experiment tool.",
+    description = "Benchmarks and load tests.",
     subcommands = {
       OverheadBenchCommand.class,
       SlopesBenchCommand.class,
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/ConfigBenchCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/ConfigBenchCommand.java
@@ -8,10 +8,13 @@
 import picocli.CommandLine.Option;
 
 /**
- * Applies configuration changes to a local deployment under faults; prints one JSON line and exits
- * with 1 if an accepted change was lost or any daemon reverted.
+ * Applies configuration changes to a local deployment while faults are injected. Prints one JSON
+ * line and exits with status 1 if an accepted change was lost or a daemon reverted to an older
+ * version.
  */
-@Command(name = "config", description = "Configuration changes under kills, cuts and lost disks.")
+@Command(
+    name = "config",
+    description = "Configuration changes under kills, partitions and lost disks.")
 final class ConfigBenchCommand implements Callable<Integer> {
   @Option(names = "--changes", defaultValue = "100", description = "changes to apply")
   int changes;
@@ -19,19 +22,22 @@
   @Option(names = "--controls", defaultValue = "3", description = "control daemons: 3 or 5")
   int controls;
 
-  @Option(names = "--delay-millis", defaultValue = "40", description = "one way between regions")
+  @Option(
+      names = "--delay-millis",
+      defaultValue = "40",
+      description = "one-way delay between regions")
   long delayMillis;
 
   @Option(names = "--interval-millis", defaultValue = "250", description = "pause after a change")
   long intervalMillis;
 
-  @Option(names = "--no-faults", description = "leave the daemons alone")
+  @Option(names = "--no-faults", description = "inject no faults")
   boolean noFaults;
 
   @Option(names = "--seed", defaultValue = "1", description = "seed of faults and races")
   long seed;
 
-  @Option(names = "--work-dir", description = "logs and data; default: a new temporary folder")
+  @Option(names = "--work-dir", description = "logs and data; default: a new temporary directory")
   Path workDir;
 
   @Override
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/DemoCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/DemoCommand.java
@@ -14,13 +14,12 @@
 import picocli.CommandLine.Option;
 
 /**
- * Runs the main job on the embedded default: starts the demo deployment as separate processes on
- * loopback, replays the shipped trace through the caller path, prints a summary and stops
- * everything gracefully.
+ * Starts the bundled demo deployment as separate processes on the loopback interface, replays the
+ * bundled trace against its entries, prints a summary and shuts the processes down gracefully.
  */
 @Command(name = "demo", description = "Start a local deployment, replay the demo trace, stop.")
 final class DemoCommand implements Callable<Integer> {
-  @Option(names = "--work-dir", description = "logs and data; default: a new temporary folder")
+  @Option(names = "--work-dir", description = "logs and data; default: a new temporary directory")
   Path workDir;
 
   @Override
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/EndpointsCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/EndpointsCommand.java
@@ -4,8 +4,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Lists the endpoints an entry daemon knows, with labels, load and leases. */
-@Command(name = "endpoints", description = "List the endpoints an entry daemon knows.")
+/** Lists the endpoints recorded by an entry daemon, with labels, load and leases. */
+@Command(name = "endpoints", description = "List the endpoints recorded by an entry daemon.")
 final class EndpointsCommand implements Callable<Integer> {
   @Option(names = "--server", required = true, description = "an entry daemon's base URL")
   String server;
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/EntriesCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/EntriesCommand.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Asks any daemon which entry instances a caller in a region should use, ranked. */
+/** Prints the ranked entry instances that a caller in a region should use. */
 @Command(name = "entries", description = "List the entry instances a caller should use, ranked.")
 final class EntriesCommand implements Callable<Integer> {
   @Option(names = "--server", required = true, description = "any daemon's base URL")
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/GetCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/GetCommand.java
@@ -5,8 +5,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Prints the configuration document in force on a daemon, with its version. */
-@Command(name = "get", description = "Print the selectors in force on a daemon.")
+/** Prints the active configuration document of a daemon, with its version. */
+@Command(name = "get", description = "Print the active selectors of a daemon.")
 final class GetCommand implements Callable<Integer> {
   @Parameters(index = "0", description = "what to get: selectors")
   String what;
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/Http.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/Http.java
@@ -8,18 +8,18 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** A blocking HTTP helper for the command line, over Vert.x's web client. */
+/** A blocking HTTP client for the commands, based on the Vert.x web client. */
 final class Http implements AutoCloseable {
   private static final long TIMEOUT_SECONDS = 15;
   private final Vertx vertx = Vertx.vertx();
   private final WebClient client = WebClient.create(vertx);
 
   /**
-   * A response reduced to what the commands print.
+   * The parts of an HTTP response that the commands use.
    *
-   * @param status the HTTP status
+   * @param status the HTTP status code
    * @param body the body as text
-   * @param headers selected response headers
+   * @param headers the response headers
    */
   record Reply(int status, String body, io.vertx.core.MultiMap headers) {}
 
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/LoadBenchCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/LoadBenchCommand.java
@@ -15,10 +15,10 @@
 import picocli.CommandLine.Option;
 
 /**
- * Replays the demo trace at rising rates through the demo deployment and measures the entry
- * daemons' processor time per request and per relayed token; prints a JSON line per rate.
+ * Replays the demo trace against the demo deployment at increasing rates and measures the CPU time
+ * of the entry daemons per request and per relayed token. Prints one JSON line per rate.
  */
-@Command(name = "load", description = "Entry processor time per request and token, by rate.")
+@Command(name = "load", description = "Entry CPU time per request and per token, by rate.")
 final class LoadBenchCommand implements Callable<Integer> {
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -28,10 +28,16 @@
   @Option(names = "--copies", defaultValue = "4", description = "trace copies per rate")
   int copies;
 
-  @Option(names = "--warm-ups", defaultValue = "3", description = "warm-up replays at top rate")
+  @Option(
+      names = "--warm-ups",
+      defaultValue = "3",
+      description = "warm-up replays at the highest rate")
   int warmUps;
 
-  @Option(names = "--idle-seconds", defaultValue = "5", description = "idle cost measurement")
+  @Option(
+      names = "--idle-seconds",
+      defaultValue = "5",
+      description = "duration of the idle measurement")
   int idleSeconds;
 
   @Override
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/Main.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/Main.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The operator and caller tool, {@code lacewingcroft}. */
+/** The command-line tool {@code lacewingcroft} for operators and callers. */
 @Command(
     name = "lacewingcroft",
     mixinStandardHelpOptions = true,
@@ -24,7 +24,7 @@
 public final class Main implements Runnable {
   @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
-  /** Runs the tool and exits with the subcommand's status. */
+  /** Runs the tool and exits with the status of the subcommand. */
   public static void main(String[] args) {
     System.exit(new CommandLine(new Main()).execute(args));
   }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/OrdersBenchCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/OrdersBenchCommand.java
@@ -6,10 +6,15 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Sends non-idempotent orders under faults; exits with 1 if any ran twice or an answer lied. */
-@Command(name = "orders", description = "At-most-once under killed, frozen and stopped entries.")
+/**
+ * Sends non-idempotent orders while faults are injected. Exits with status 1 if an order ran twice
+ * or a response reported a wrong outcome.
+ */
+@Command(
+    name = "orders",
+    description = "At-most-once execution with killed, frozen and stopped entries.")
 final class OrdersBenchCommand implements Callable<Integer> {
-  @Option(names = "--seconds", defaultValue = "60", description = "how long orders are sent")
+  @Option(names = "--seconds", defaultValue = "60", description = "duration of the load")
   int seconds;
 
   @Override
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/OverheadBenchCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/OverheadBenchCommand.java
@@ -13,10 +13,13 @@
 import picocli.CommandLine.Command;
 
 /**
- * Measures the latency the gateway adds: the demo trace through the gateway, then the same trace
- * straight to one stand-in engine of the caller's region, in one run; prints both and the ratio.
+ * Measures the latency that the gateway adds. Replays the demo trace through the gateway, then the
+ * same trace directly against one stand-in engine in the region of the caller, and prints both
+ * results and their ratio.
  */
-@Command(name = "overhead", description = "Latency added by the gateway, against direct calls.")
+@Command(
+    name = "overhead",
+    description = "Latency added by the gateway, compared with direct calls.")
 final class OverheadBenchCommand implements Callable<Integer> {
   @Override
   public Integer call() throws Exception {
@@ -32,7 +35,7 @@
           replayer.replay(trace, r -> standins.get("writers-" + r.region()).get(0));
       System.out.print(warm.report("warm-up through the gateway"));
       System.out.print(viaGateway.report("through the gateway"));
-      System.out.print(direct.report("straight to one engine per region"));
+      System.out.print(direct.report("directly to one engine per region"));
       double ratio =
           viaGateway.firstTokenMicros.getValueAtPercentile(50)
               / (double) Math.max(1, direct.firstTokenMicros.getValueAtPercentile(50));
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/PolicyBenchCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/PolicyBenchCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Compares routing policies under a region's loss of capacity; prints a JSON line per policy. */
+/** Compares routing policies while a region loses capacity. Prints one JSON line per policy. */
 @Command(name = "policy", description = "Cost, tail latency and cross-region share by policy.")
 final class PolicyBenchCommand implements Callable<Integer> {
   @Option(
@@ -19,7 +19,7 @@
   @Option(names = "--seconds", defaultValue = "24", description = "length of the trace")
   int seconds;
 
-  @Option(names = "--rate", defaultValue = "60", description = "requests a second, all regions")
+  @Option(names = "--rate", defaultValue = "60", description = "requests per second, all regions")
   double requestsPerSecond;
 
   @Option(names = "--seed", defaultValue = "1", description = "seed of the trace")
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/QuarantineCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/QuarantineCommand.java
@@ -7,15 +7,15 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Lists the contents that entries refuse because endpoints ended under them, or lifts one. */
+/** Lists the quarantined request contents, which crashed endpoints, or lifts a quarantine. */
 @Command(
     name = "quarantine",
-    description = "List the contents that are not run any more, or let one run again.")
+    description = "List the quarantined request contents, or lift the quarantine of one.")
 final class QuarantineCommand implements Callable<Integer> {
   @Option(names = "--server", required = true, description = "an entry daemon's base URL")
   String server;
 
-  @Option(names = "--lift", description = "the fingerprint of a content that shall run again")
+  @Option(names = "--lift", description = "fingerprint of the content whose quarantine is lifted")
   Optional<String> lift = Optional.empty();
 
   @Override
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/ReportCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/ReportCommand.java
@@ -18,25 +18,25 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Tells from the entries' logs what callers got, what they lost, and why. */
+/** Reports from the logs of the entries which requests were served, which were not, and why. */
 @Command(
     name = "report",
     description =
         "Tables of requests served and lost by route, entry, cause, target and second,"
-            + " of what was under way at endpoints that broke off,"
+            + " of request contents in progress at endpoints with lost connections,"
             + " and of messages between instances by kind.")
 final class ReportCommand implements Callable<Integer> {
   @Spec CommandSpec spec;
 
-  @Parameters(arity = "1..*", description = "log files of the entries, or folders of them")
+  @Parameters(arity = "1..*", description = "log files of the entries, or directories of them")
   List<Path> files;
 
   @Option(
       names = "--weight",
-      description = "what a request of a route is worth, as ROUTE=NUMBER; 1 if not given")
+      description = "weight of a request by route, as ROUTE=NUMBER; default: 1")
   Map<String, Double> weightByRoute = Map.of();
 
-  @Option(names = "--plot", description = "also draw the seconds into this PNG file")
+  @Option(names = "--plot", description = "also plot the results by second into this PNG file")
   Path plot;
 
   @Override
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/SlopesBenchCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/SlopesBenchCommand.java
@@ -7,8 +7,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Measures the in-process slopes that docs/CAPACITY.md scales from; prints JSON lines. */
-@Command(name = "slopes", description = "Measure routing, configuration and membership slopes.")
+/**
+ * Measures in-process how cost grows with size. docs/CAPACITY.md extrapolates from the results,
+ * which are printed as JSON lines.
+ */
+@Command(
+    name = "slopes",
+    description = "Measure how routing, configuration and membership cost grows with size.")
 final class SlopesBenchCommand implements Callable<Integer> {
   @Option(names = "--members", split = ",", defaultValue = "27,108,351")
   List<Integer> members;
@@ -22,7 +27,7 @@
   @Option(
       names = "--seconds",
       defaultValue = "40",
-      description = "membership run per size; 0 leaves it out")
+      description = "duration of the membership run per size; 0 skips it")
   int seconds;
 
   @Option(names = "--interval-millis", defaultValue = "1000", description = "gossip interval")
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/TimelineCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/TimelineCommand.java
@@ -15,16 +15,16 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Merges the JSON-line logs of many processes into one time line ordered by hybrid logical clock
- * stamp, then node id.
+ * Merges the JSON Lines logs of several processes into one timeline, ordered by hybrid logical
+ * clock timestamp, then by node id.
  */
-@Command(name = "timeline", description = "Merge JSON-line logs into one ordered time line.")
+@Command(name = "timeline", description = "Merge JSON Lines logs into one ordered timeline.")
 final class TimelineCommand implements Callable<Integer> {
   private static final int NOTHING_FOUND = 1;
 
   @Spec CommandSpec spec;
 
-  @Parameters(arity = "1..*", description = "log files, or folders of them")
+  @Parameters(arity = "1..*", description = "log files, or directories of them")
   List<Path> files;
 
   @ArgGroup Story story;
@@ -32,15 +32,15 @@
   @Option(names = "--grep", description = "only lines containing this text")
   String grep;
 
-  /** Whose story is told; one at most. */
+  /** The subject whose lines are printed, at most one. */
   static final class Story {
-    @Option(names = "--request", description = "the story of one request, by its id")
+    @Option(names = "--request", description = "only lines that concern the request with this id")
     String request;
 
-    @Option(names = "--endpoint", description = "what was said of one endpoint, by its id")
+    @Option(names = "--endpoint", description = "only lines about the endpoint with this id")
     String endpoint;
 
-    @Option(names = "--config-version", description = "the way of one configuration version")
+    @Option(names = "--config-version", description = "only lines about this configuration version")
     String version;
   }
 
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/BreakReport.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/BreakReport.java
@@ -10,9 +10,9 @@
 import java.util.TreeSet;
 
 /**
- * Which contents were under way at endpoints that broke off. A content that one endpoint after the
- * other broke off under, from the same senders, ends the endpoints that run it; if none recurs, the
- * endpoints ended for another reason.
+ * Lists the request contents that were in progress at endpoints whose connections were lost. A
+ * content that recurs across several lost endpoints, from the same senders, crashes the endpoints
+ * that run it. If no content recurs, the endpoints crashed for another reason.
  */
 public final class BreakReport {
   private static final int MOST_ROWS = 20;
@@ -25,20 +25,20 @@
   private final Set<String> placedRequests = new HashSet<>();
 
   /**
-   * A content that was under way where an endpoint broke off.
+   * A request content that was in progress when the connection to an endpoint was lost.
    *
-   * @param fingerprint names it
-   * @param route its route
-   * @param endpoints the endpoints that broke off under it
-   * @param senders the callers that sent it, as addresses
+   * @param fingerprint the fingerprint that identifies the content
+   * @param route the route of the content
+   * @param endpoints the endpoints whose connections were lost while they ran the content
+   * @param senders the addresses of the callers that sent the content
    */
   public record Suspect(
       String fingerprint, String route, Set<String> endpoints, Set<String> senders) {}
 
   /**
-   * Reads the lines.
+   * Reads the log lines.
    *
-   * @param lines of all entries, in causal order
+   * @param lines the log lines of all entries, in causal order
    */
   public BreakReport(List<LogLine> lines) {
     lines.forEach(this::readPlacement);
@@ -53,7 +53,8 @@
     if (line.fields().has("region")) {
       entries.add(line.text("target"));
     }
-    // The first entry got it from its caller, the next one from the first.
+    // Only the first entry receives the request from its caller; after a relay the sender is an
+    // entry.
     if (placedRequests.add(line.text("request"))) {
       suspect(line).senders().add(line.text("sender"));
     }
@@ -73,7 +74,7 @@
         f -> new Suspect(f, line.text("route"), new TreeSet<>(), new TreeSet<>()));
   }
 
-  /** Returns the contents, those with most endpoints first. */
+  /** Returns the contents, sorted by descending number of endpoints. */
   public List<Suspect> suspects() {
     return byFingerprint.values().stream()
         .sorted(
@@ -82,12 +83,12 @@
         .toList();
   }
 
-  /** Returns the report as text, empty if no endpoint broke off. */
+  /** Returns the report as text, or an empty string if no connection to an endpoint was lost. */
   public String text() {
     if (byFingerprint.isEmpty()) {
       return "";
     }
-    StringBuilder text = new StringBuilder("endpoints that broke off, by what they were sent\n");
+    StringBuilder text = new StringBuilder("endpoints with lost connections, by request content\n");
     text.append(
         String.format("%-18s %9s %8s  %-16s %s%n", "", "endpoints", "senders", "route", "which"));
     for (Suspect suspect : suspects().subList(0, Math.min(MOST_ROWS, byFingerprint.size()))) {
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/LogFiles.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/LogFiles.java
@@ -13,9 +13,10 @@
 import java.util.stream.Stream;
 
 /**
- * Reads the JSON-line logs of many processes. Text before a line's object, such as a collector's
- * time and host, is passed over; so are lines without an object that bears a clock stamp (a JVM's
- * own messages, the torn last line of a killed process).
+ * Reads the JSON Lines logs of several processes. Text before the JSON object of a line, such as
+ * the time and host added by a log collector, is skipped. Lines without a JSON object that has a
+ * clock timestamp are skipped too, such as JVM messages and the truncated last line of a killed
+ * process.
  */
 public final class LogFiles {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -26,8 +27,8 @@
   /**
    * Returns the log lines of all files in causal order.
    *
-   * @param paths files, or folders of which each file directly inside is read
-   * @throws IOException if one cannot be read
+   * @param paths log files, and directories whose regular files are read, without subdirectories
+   * @throws IOException if a file cannot be read
    */
   public static List<LogLine> merge(List<Path> paths) throws IOException {
     List<LogLine> lines = new ArrayList<>();
@@ -52,7 +53,7 @@
     }
   }
 
-  /** Returns the log line in a line of text, if there is one. */
+  /** Parses a line of text, or returns empty if it has no log line. */
   static Optional<LogLine> parse(String text) {
     int start = text.indexOf('{');
     if (start < 0) {
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/LogLine.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/LogLine.java
@@ -4,32 +4,33 @@
 import java.util.Comparator;
 
 /**
- * One line of an instance's log.
+ * A line of the log of an instance.
  *
- * @param stamp the hybrid logical clock's reading: milliseconds since 1970, a point, a counter
+ * @param stamp the timestamp of the hybrid logical clock: milliseconds since the epoch, a point and
+ *     a counter
  * @param node the instance that wrote it
- * @param event what happened, such as {@code request.placed}
- * @param fields the whole line
+ * @param event the name of the event, such as {@code request.placed}
+ * @param fields all fields of the line
  */
 public record LogLine(String stamp, String node, String event, JsonNode fields) {
-  /** Causal order: by stamp, then by instance. */
+  /** Orders lines causally: by timestamp, then by instance. */
   public static final Comparator<LogLine> CAUSAL_ORDER =
       Comparator.comparing(LogLine::stamp).thenComparing(LogLine::node);
 
-  /** Returns the physical part of the stamp, in milliseconds since 1970. */
+  /** Returns the physical part of the timestamp, in milliseconds since the epoch. */
   public long millis() {
     return Long.parseLong(stamp.substring(0, stamp.indexOf('.')));
   }
 
-  /** Returns a field as text, empty if the line has none of this name. */
+  /** Returns a field as text, or an empty string if the field is missing. */
   public String text(String name) {
     return fields.path(name).asText("");
   }
 
   /**
-   * Returns a field as a whole number; fields are written as text.
+   * Returns a field as an integer. Numbers that are written as text are parsed.
    *
-   * @param otherwise what is returned if the field is missing or no number
+   * @param otherwise the value to return if the field is missing or not a number
    */
   public long number(String name, long otherwise) {
     return fields.path(name).asLong(otherwise);
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/OutcomeCounts.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/OutcomeCounts.java
@@ -5,7 +5,7 @@
 import org.HdrHistogram.Histogram;
 import org.lacewingcroft.logs.RequestOutcome.Result;
 
-/** Requests of one group (a route, an entry, a second) by their result. */
+/** Counts the requests of one group (a route, an entry or a second) by result. */
 public final class OutcomeCounts {
   private static final int DIGITS = 3;
 
@@ -15,9 +15,9 @@
   private double lostWeight;
 
   /**
-   * Counts one more.
+   * Adds a request.
    *
-   * @param weight what it is worth, in any unit
+   * @param weight the weight of the request, in any unit
    */
   void add(RequestOutcome outcome, double weight) {
     counts.merge(outcome.result(), 1L, Long::sum);
@@ -29,23 +29,24 @@
     }
   }
 
-  /** Returns how many ended so. */
+  /** Returns the number of requests with the given result. */
   public long count(Result result) {
     return counts.getOrDefault(result, 0L);
   }
 
-  /** Returns how many there are in all. */
+  /** Returns the number of requests. */
   public long total() {
     return counts.values().stream().mapToLong(Long::longValue).sum();
   }
 
-  /** Returns the weight of those that were not served. */
+  /** Returns the total weight of the requests that were not served. */
   public double lostWeight() {
     return lostWeight;
   }
 
   /**
-   * Returns the time to the first byte of those served, in ms, 0 if there are none.
+   * Returns a percentile of the time to the first byte of served requests in milliseconds, or 0 if
+   * none was served.
    *
    * @param percentile from 0 to 100
    */
@@ -54,7 +55,8 @@
   }
 
   /**
-   * Returns the time to the last byte of those served, in ms, 0 if there are none.
+   * Returns a percentile of the time to the last byte of served requests in milliseconds, or 0 if
+   * none was served.
    *
    * @param percentile from 0 to 100
    */
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/ReportPlot.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/ReportPlot.java
@@ -19,7 +19,7 @@
 import org.jfree.data.xy.XYSeriesCollection;
 import org.lacewingcroft.logs.RequestOutcome.Result;
 
-/** Draws what became of the requests of each second, and how long those served waited. */
+/** Plots request results and the time to first byte of served requests, by second of arrival. */
 public final class ReportPlot {
   private static final int WIDTH_PIXELS = 1_200;
   private static final int HEIGHT_PIXELS = 800;
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/RequestOutcome.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/RequestOutcome.java
@@ -1,17 +1,18 @@
 package org.lacewingcroft.logs;
 
 /**
- * How one request ended at the entry that its caller asked.
+ * The outcome of one request at the entry that received it from its caller.
  *
- * @param id the request's id
- * @param route the route it matched
- * @param node the entry that answered its caller
- * @param result in general
- * @param cause why it was not served, empty if it was
- * @param target the endpoint or entry of its last try, empty if it was never placed
- * @param arrivedMillis when it arrived, milliseconds since 1970
- * @param firstByteMillis until its answer's head was here, -1 if it never was
- * @param millis in all
+ * @param id the id of the request
+ * @param route the route that the request matched
+ * @param node the entry that responded to the caller
+ * @param result the kind of outcome
+ * @param cause the reason why the request was not served, empty if it was served
+ * @param target the endpoint or entry of the last attempt, empty if the request was never placed
+ * @param arrivedMillis the time of arrival, in milliseconds since the epoch
+ * @param firstByteMillis the time from arrival to the response head in milliseconds, -1 if no
+ *     response head was received
+ * @param millis the time from arrival to the end of the request, in milliseconds
  */
 public record RequestOutcome(
     String id,
@@ -24,15 +25,15 @@
     long firstByteMillis,
     long millis) {
 
-  /** How a request ended in general. */
+  /** The kind of outcome of a request. */
   public enum Result {
-    /** It was answered in full. */
+    /** The response was completed without a server error. */
     SERVED,
-    /** It was turned away, and has not run. */
+    /** The request was rejected and has not run. */
     REFUSED,
-    /** It was placed and not answered in full, or answered with an error. */
+    /** The response was not completed or was an error, and the request may have run. */
     FAILED,
-    /** Its caller left before its answer was complete. */
+    /** The caller disconnected before the response was complete. */
     LEFT
   }
 }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/RequestOutcomes.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/RequestOutcomes.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.lacewingcroft.logs.RequestOutcome.Result;
 
-/** Finds out from the entries' lines how each request ended, and why. */
+/** Derives the outcome of each request, and its cause, from the log lines of the entries. */
 public final class RequestOutcomes {
   private static final String PLACED = "request.placed";
   private static final String TRY_FAILED = "request.try_failed";
@@ -17,23 +17,23 @@
   private static final String SERVED = "served";
   private static final int SERVER_ERROR = 500;
 
-  /** Statuses that say, unless it may have run, that a request was turned away. */
+  /** Statuses of rejected requests, provided that the request cannot have run. */
   private static final Set<Long> TURNED_AWAY = Set.of(429L, 503L);
 
   private final List<RequestOutcome> outcomes = new ArrayList<>();
   private final Map<Handling, List<LogLine>> tries = new HashMap<>();
   private final Set<Handling> relayed = new HashSet<>();
 
-  /** One request at one entry. */
+  /** Identifies the handling of one request by one entry. */
   private record Handling(String request, String node) {}
 
   private RequestOutcomes() {}
 
   /**
-   * Returns one outcome for each request that callers sent. What an entry did with a request that
-   * another one relayed to it belongs to the other's outcome.
+   * Returns one outcome for each request that callers sent. The handling of a relayed request by
+   * the receiving entry is part of the outcome at the relaying entry.
    *
-   * @param lines of all entries, in causal order
+   * @param lines the log lines of all entries, in causal order
    */
   public static List<RequestOutcome> of(List<LogLine> lines) {
     RequestOutcomes reader = new RequestOutcomes();
@@ -86,14 +86,14 @@
     return turnedAway ? Result.REFUSED : Result.FAILED;
   }
 
-  /** The entry's words, and what the last try that failed met. */
+  /** Returns the outcome that the entry logged, with the failure of the last failed attempt. */
   private static String cause(LogLine end, List<LogLine> tries) {
     String words =
         end.text("outcome").equals(SERVED) ? "answered " + end.text("status") : end.text("outcome");
     boolean streamed = end.number("lastEvent", -1) >= 0;
-    String phase = streamed ? ", in the middle of its answer" : "";
+    String phase = streamed ? ", in the middle of its response" : "";
     return last(tries, TRY_FAILED)
-        .map(t -> words + phase + ", after a try: " + t.text("what"))
+        .map(t -> words + phase + ", after a failed attempt: " + t.text("what"))
         .orElse(words + phase);
   }
 
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/ServiceReport.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/ServiceReport.java
@@ -10,7 +10,8 @@
 import org.lacewingcroft.logs.RequestOutcome.Result;
 
 /**
- * What callers got and what they lost, by route, entry, last target, cause and second of arrival.
+ * Counts the requests that were served and those that were not, by route, entry, last target, cause
+ * and second of arrival.
  */
 public final class ServiceReport {
   private static final long MILLIS_PER_SECOND = 1_000;
@@ -33,10 +34,11 @@
   private final long startMillis;
 
   /**
-   * Takes what became of the requests.
+   * Creates a report of the given outcomes.
    *
-   * @param outcomes of all requests
-   * @param weightByRoute what a request of a route is worth, in any unit; 1 for routes not named
+   * @param outcomes the outcomes of all requests
+   * @param weightByRoute the weight of one request by route, in any unit; routes without an entry
+   *     have weight 1
    */
   public ServiceReport(List<RequestOutcome> outcomes, Map<String, Double> weightByRoute) {
     this.outcomes = List.copyOf(outcomes);
@@ -45,13 +47,14 @@
   }
 
   /**
-   * Returns the counts by second of arrival since the first request; seconds without are left out.
+   * Returns the counts by second of arrival, relative to the first request. Seconds in which no
+   * request arrived are omitted.
    */
   public Map<Long, OutcomeCounts> bySecond() {
     return by(o -> (o.arrivedMillis() - startMillis) / MILLIS_PER_SECOND);
   }
 
-  /** Returns the counts by what the function tells of a request. */
+  /** Returns the counts by the key that the function returns for a request. */
   public <K extends Comparable<K>> Map<K, OutcomeCounts> by(Function<RequestOutcome, K> group) {
     Map<K, OutcomeCounts> counts = new TreeMap<>();
     for (RequestOutcome outcome : outcomes) {
@@ -62,7 +65,10 @@
     return counts;
   }
 
-  /** Returns the report as text: a table each, those that lost most first. */
+  /**
+   * Returns the report as text, one table per grouping. Except by second, rows are sorted by
+   * descending weight of the requests that were not served.
+   */
   public String text() {
     List<RequestOutcome> lost = outcomes.stream().filter(o -> o.result() != Result.SERVED).toList();
     ServiceReport ofLost = new ServiceReport(lost, weightByRoute);
@@ -75,7 +81,7 @@
         + table("second of arrival", seconds);
   }
 
-  /** One line of a table. */
+  /** A row of a table. */
   private record Row(String name, OutcomeCounts counts) {}
 
   private List<Row> worstFirst(Function<RequestOutcome, String> group) {
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/TimelineFilter.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/TimelineFilter.java
@@ -5,28 +5,28 @@
 import java.util.Set;
 
 /**
- * Picks from a merged time line what tells one story: of a request, of an endpoint, or of a
+ * Selects the lines of a merged timeline that concern one request, one endpoint or one
  * configuration version.
  */
 public final class TimelineFilter {
-  /** How long before its request's first line news of a target is part of the story, in ms. */
+  /** The time before the first line of a request from which updates are included. */
   private static final long NEWS_MILLIS = 5_000;
 
   private final List<LogLine> lines;
 
   /**
-   * Takes a time line.
+   * Creates a filter over a timeline.
    *
-   * @param lines in causal order
+   * @param lines the log lines in causal order
    */
   public TimelineFilter(List<LogLine> lines) {
     this.lines = lines;
   }
 
   /**
-   * Returns the story of a request: its own lines at every instance, and what those instances heard
-   * of the endpoints and the routing it met, from {@value #NEWS_MILLIS} ms before its first line to
-   * its last.
+   * Returns the lines of a request at every instance, and the endpoint and routing updates that
+   * those instances applied and that concern its targets, from {@value #NEWS_MILLIS} ms before its
+   * first line to its last.
    */
   public List<LogLine> ofRequest(String id) {
     List<LogLine> own = lines.stream().filter(l -> l.text("request").equals(id)).toList();
@@ -61,7 +61,7 @@
     };
   }
 
-  /** Returns what every instance said of an endpoint, all its incarnations. */
+  /** Returns the lines of all instances about all incarnations of an endpoint. */
   public List<LogLine> ofEndpoint(String id) {
     return lines.stream().filter(l -> l.text("endpoint").equals(id) && !isRequest(l)).toList();
   }
@@ -70,7 +70,7 @@
     return line.event().startsWith("request.");
   }
 
-  /** Returns how a configuration version was committed and where it came into force. */
+  /** Returns the lines about the commit and the activation of a configuration version. */
   public List<LogLine> ofVersion(String version) {
     return lines.stream().filter(l -> l.text("version").equals(version)).toList();
   }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/TrafficReport.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/TrafficReport.java
@@ -7,8 +7,9 @@
 import java.util.TreeMap;
 
 /**
- * What the messages between instances cost, by kind, from the accounts that each instance logs from
- * time to time. An account counts from the instance's start, so of each start the last one stands.
+ * Sums the messages between instances by kind, from the cumulative counters that each instance logs
+ * periodically. The counters start at 0 when an instance starts, so the last values of each start
+ * are summed.
  */
 public final class TrafficReport {
   private static final String TRAFFIC = "peer.traffic";
@@ -20,13 +21,13 @@
   private record Instance(String node, String kind) {}
 
   /**
-   * Totals of one kind of message.
+   * Message counters of one kind of message.
    *
-   * @param sent messages sent
-   * @param sentBytes their bytes
-   * @param received messages received
-   * @param receivedBytes their bytes
-   * @param workMicros time spent on them
+   * @param sent the number of messages sent
+   * @param sentBytes the size of the messages sent, in bytes
+   * @param received the number of messages received
+   * @param receivedBytes the size of the messages received, in bytes
+   * @param workMicros the time spent processing the messages, in microseconds
    */
   public record Totals(
       long sent, long sentBytes, long received, long receivedBytes, long workMicros) {
@@ -59,16 +60,16 @@
           workMicros - other.workMicros);
     }
 
-    /** Returns whether this account cannot continue an earlier one: the instance was restarted. */
+    /** Returns whether a counter is below its earlier value, because the instance restarted. */
     private boolean startsAnew(Totals earlier) {
       return sent < earlier.sent || received < earlier.received;
     }
   }
 
   /**
-   * Reads the accounts.
+   * Reads the logged counters.
    *
-   * @param lines of all instances, in causal order
+   * @param lines the log lines of all instances, in causal order
    */
   public TrafficReport(List<LogLine> lines) {
     lines.stream().filter(line -> line.event().equals(TRAFFIC)).forEach(this::read);
@@ -88,7 +89,7 @@
     return Map.copyOf(byKind);
   }
 
-  /** Returns the report as text, empty if no instance logged an account. */
+  /** Returns the report as text, or an empty string if no instance logged its counters. */
   public String text() {
     if (byKind.isEmpty()) {
       return "";
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/cli/HelpTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/cli/HelpTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import picocli.CommandLine;
 
-/** Every command, however deep, explains itself and tells its version. */
+/** Tests that every command and nested subcommand supports --help and --version. */
 class HelpTest {
   static Stream<String> commands() {
     List<String> paths = new ArrayList<>();
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/cli/LogCommandsTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/cli/LogCommandsTest.java
@@ -21,7 +21,7 @@
 import org.lacewingcroft.logs.SampleLog;
 import picocli.CommandLine;
 
-/** The commands that read logs, run as an operator runs them. */
+/** Tests the commands that read logs through the command line. */
 class LogCommandsTest {
   private static final int USAGE = 2;
 
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/BreakReportTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/BreakReportTest.java
@@ -9,6 +9,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
+/** Tests which request contents are reported as suspected of crashing endpoints. */
 class BreakReportTest {
   private static String placed(String request, String fingerprint, String sender, String target) {
     return SampleLog.line(
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/LogFilesTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/LogFilesTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Logs of many processes become one time line, whatever stands between their lines. */
+/** Tests that the logs of several processes merge into one timeline and other text is skipped. */
 class LogFilesTest {
   @TempDir private Path folder;
 
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/SampleLog.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/SampleLog.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Writes log lines as instances do. */
+/** Creates log lines in the format that instances write. */
 public final class SampleLog {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final long START_MILLIS = 1_778_100_000_000L;
@@ -11,10 +11,10 @@
   private SampleLog() {}
 
   /**
-   * Returns a line.
+   * Returns a log line.
    *
-   * @param millis since the log's start
-   * @param fields names and values, alternately
+   * @param millis the time since the start of the log, in milliseconds
+   * @param fields alternating field names and values
    */
   public static String line(long millis, String node, String event, Object... fields) {
     ObjectNode line =
@@ -28,18 +28,18 @@
     return line.toString();
   }
 
-  /** Returns the line of a request's placement at an endpoint of the entry's region. */
+  /** Returns the log line of a request placed at an endpoint in the entry's region. */
   public static String placed(long millis, String node, String request, String endpoint) {
     return line(millis, node, "request.placed", "request", request, "target", endpoint);
   }
 
-  /** Returns the line of a request's relay to an entry of another region. */
+  /** Returns the log line of a request relayed to an entry in another region. */
   public static String relayed(long millis, String node, String request, String entry) {
     return line(
         millis, node, "request.placed", "request", request, "target", entry, "region", "south");
   }
 
-  /** Returns the line of a request's end. */
+  /** Returns the log line of a finished request. */
   public static String finished(
       long millis, String node, String request, String outcome, int status, boolean mayHaveRun) {
     return line(
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/ServiceReportTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/ServiceReportTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.lacewingcroft.logs.RequestOutcome.Result;
 
-/** What callers got is read from the entries' lines, each request once. */
+/** Tests that each request is counted once, with its result taken from the entries' log lines. */
 class ServiceReportTest {
   static Stream<Arguments> ends() {
     return Stream.of(
@@ -62,7 +62,7 @@
             SampleLog.placed(16, "north-1", "r-1", "i-2"),
             SampleLog.line(17, "north-1", "request.try_failed", "request", "r-1", "what", "broken"),
             SampleLog.finished(20, "north-1", "r-1", "the endpoint failed", 502, true));
-    assertThat(outcomes.get(0).cause(), is("the endpoint failed, after a try: broken"));
+    assertThat(outcomes.get(0).cause(), is("the endpoint failed, after a failed attempt: broken"));
     assertThat(outcomes.get(0).target(), is("i-2"));
   }
 
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/TimelineFilterTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/TimelineFilterTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** What belongs to one story is told, in order, and nothing else. */
+/** Tests that a filter returns exactly the lines of its subject, in order. */
 class TimelineFilterTest {
   private static final List<LogLine> LINES =
       Stream.of(
@@ -30,7 +30,14 @@
 
   static Stream<Arguments> stories() {
     return Stream.of(
-        story("a request, with the news its entry had", f -> f.ofRequest("r-1"), 1, 3, 5, 7, 8),
+        story(
+            "a request, with the updates that its entry received",
+            f -> f.ofRequest("r-1"),
+            1,
+            3,
+            5,
+            7,
+            8),
         story("another request", f -> f.ofRequest("r-2"), 1, 3, 6),
         story("no such request", f -> f.ofRequest("r-9")),
         story("an endpoint", f -> f.ofEndpoint("i-1"), 0, 2, 3, 9),
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/TrafficReportTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/TrafficReportTest.java
@@ -12,14 +12,15 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
+/** Tests that cumulative message counters are summed across instances and restarts. */
 class TrafficReportTest {
-  /** An instance's account of the digests that it received, 100 bytes and 2 ms each. */
+  /** An instance's logged counters of the digests that it received, 100 bytes and 2 ms each. */
   private record Account(String node, long received) {}
 
   static Stream<Arguments> logs() {
     return Stream.of(
         Arguments.of("none", List.of(), Map.of()),
-        Arguments.of("the last of one start", accounts("a 3 a 5"), digests(5)),
+        Arguments.of("the last totals of one start", accounts("a 3 a 5"), digests(5)),
         Arguments.of("several instances", accounts("a 3 b 4 a 5"), digests(9)),
         Arguments.of("a restart", accounts("a 5 a 2 a 4"), digests(9)));
   }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ConfigBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ConfigBench.java
@@ -18,9 +18,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Applies configuration changes to a local deployment while its daemons are killed, frozen, cut off
- * and robbed of their disks, with operators racing each other and resending, and measures how long
- * a change takes to be in force everywhere and whether any was lost or reverted.
+ * Applies configuration changes to a local deployment while daemons are killed, frozen and
+ * partitioned and lose their disks. Some changes are sent concurrently with a conflicting one, and
+ * some are resent. Measures the time until a change is active on all daemons, and whether any
+ * change was lost or reverted.
  */
 public final class ConfigBench {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -41,14 +42,14 @@
   private int wrongResends;
 
   /**
-   * What to run.
+   * The parameters of a run.
    *
-   * @param changes how many changes to have accepted
-   * @param controls control daemons, 3 or 5
-   * @param delayMillis injected one-way delay between regions
-   * @param intervalMillis pause between changes
-   * @param faults whether daemons are disturbed
-   * @param seed the seed of faults and races
+   * @param changes the number of changes to apply
+   * @param controls the number of control daemons, 3 or 5
+   * @param delayMillis the injected one-way delay between regions, in milliseconds
+   * @param intervalMillis the pause between changes, in milliseconds
+   * @param faults whether faults are injected
+   * @param seed the seed of the random choices of faults and control daemons
    */
   public record Options(
       int changes,
@@ -70,7 +71,7 @@
     LOSE_DISK
   }
 
-  /** Creates the bench writing its report to the given sink. */
+  /** Creates a benchmark that writes its report to the given consumer. */
   public ConfigBench(Options options, Consumer<String> out) {
     this.options = options;
     this.out = out;
@@ -78,10 +79,10 @@
   }
 
   /**
-   * Runs the bench.
+   * Runs the benchmark.
    *
-   * @param workDir folder for logs and data
-   * @return whether no accepted change was lost or reverted
+   * @param workDir the directory for logs and data
+   * @return whether no accepted change was lost or reverted, and all daemons have the same document
    * @throws Exception if the deployment does not start
    */
   public boolean run(Path workDir) throws Exception {
@@ -145,7 +146,7 @@
     return urls.get(random.nextInt(urls.size()));
   }
 
-  /** Sends a change to any control daemon: two of three as patches, the others whole. */
+  /** Sends a change to a random control daemon: about two of three as patches, the rest as PUT. */
   private Optional<HttpResponse<String>> put(String changeId, long expected) {
     boolean patch = Math.floorMod(changeId.hashCode(), 3) != 0;
     return patch
@@ -163,7 +164,7 @@
                 DaemonClient.ChangeKind.PUT, anyControl(), changeId, expected, document(changeId));
   }
 
-  /** Sends a change until it is accepted, rebasing on conflicts, and returns its version. */
+  /** Sends a change until it is accepted, rebases it on conflicts and returns its version. */
   private long applied(String changeId, long expectedVersion) throws Exception {
     long expected = expectedVersion;
     for (int rebase = 0; rebase < MAX_SENDS; rebase++) {
@@ -185,8 +186,8 @@
   }
 
   /**
-   * Sends one change, resending the same id to other control daemons while the answer is lost or a
-   * refusal to retry; returns its version, or empty on a conflict.
+   * Sends a change and resends it with the same id to random control daemons while the response is
+   * lost or retryable. Returns the version of the change, or empty on a conflict.
    */
   private Optional<Long> sendUntilAnswered(String changeId, long expected) throws Exception {
     final long sentNanos = System.nanoTime();
@@ -204,7 +205,7 @@
       }
       TimeUnit.MILLISECONDS.sleep(RETRY_MILLIS);
     }
-    throw new IllegalStateException(changeId + " got no answer");
+    throw new IllegalStateException(changeId + " received no final response");
   }
 
   private synchronized void note(Accepted change) {
@@ -215,7 +216,7 @@
     conflicts++;
   }
 
-  /** Two operators send different changes based on the same version; returns the newest version. */
+  /** Sends two conflicting changes based on one version and returns the newest accepted version. */
   private long race(int i, long expected) throws Exception {
     CompletableFuture<Optional<Long>> rival =
         CompletableFuture.supplyAsync(
@@ -229,7 +230,8 @@
     Optional<Long> mine = sendUntilAnswered("change-" + i, expected);
     Optional<Long> theirs = rival.get(120, TimeUnit.SECONDS);
     if (mine.isPresent() && theirs.isPresent()) {
-      throw new IllegalStateException("both changes racing on version " + expected + " won");
+      throw new IllegalStateException(
+          "both concurrent changes of version " + expected + " were accepted");
     }
     return mine.or(() -> theirs).isPresent()
         ? mine.or(() -> theirs).get()
@@ -243,7 +245,7 @@
     }
   }
 
-  /** Resends an accepted change and returns the version it is answered with. */
+  /** Resends an accepted change and returns the version in the response, or -1 without one. */
   private long resend(Accepted change) throws Exception {
     resends++;
     for (int send = 0; send < MAX_SENDS; send++) {
@@ -268,7 +270,7 @@
     return lost;
   }
 
-  /** Disturbs one daemon or region after another until interrupted. */
+  /** Injects one fault after another until the thread is interrupted. */
   private void disturb() {
     Fault[] faults = Fault.values();
     int next = 0;
@@ -279,7 +281,7 @@
         TimeUnit.MILLISECONDS.sleep(1_500);
       }
     } catch (InterruptedException e) {
-      // The run is over.
+      // The run is complete.
     } catch (Exception e) {
       out.accept("fault injection failed: " + e);
     }
@@ -340,7 +342,7 @@
     }
   }
 
-  /** Sleeps so that an interrupt ends the run only after the fault was undone. */
+  /** Sleeps without interruption, so that an interrupt takes effect after the fault is undone. */
   private static void sleepUninterrupted(long millis) {
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
     boolean interrupted = false;
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/DaemonClient.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/DaemonClient.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Asks daemons and stand-ins over their HTTP APIs, as operators and experiments do. */
+/** A client of the operator and fault injection APIs of daemons, and of the stand-in APIs. */
 public final class DaemonClient {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final Duration QUERY_TIMEOUT = Duration.ofSeconds(2);
@@ -36,7 +36,7 @@
     return send(HttpRequest.newBuilder(URI.create(url)).timeout(QUERY_TIMEOUT).build());
   }
 
-  /** Returns the JSON document at an address, or empty if there is none. */
+  /** Returns the JSON document at a URL, or empty if the request fails or has another status. */
   public Optional<JsonNode> document(String url) {
     return get(url)
         .filter(r -> r.statusCode() == 200)
@@ -50,7 +50,7 @@
             });
   }
 
-  /** Returns the configuration version in force at a daemon, or -1 if it does not answer. */
+  /** Returns the active configuration version of a daemon, or -1 if it does not respond. */
   public long configVersion(String daemonUrl) {
     return get(daemonUrl + "/v1/config")
         .map(r -> r.headers().firstValueAsLong("X-Config-Version").orElse(-1))
@@ -62,23 +62,23 @@
     return get(daemonUrl + "/readyz").filter(r -> r.statusCode() == 200).isPresent();
   }
 
-  /** Returns the configuration document in force at a daemon, if it answers. */
+  /** Returns the active configuration document of a daemon, or empty if it does not respond. */
   public Optional<String> configDocument(String daemonUrl) {
     return get(daemonUrl + "/v1/config").filter(r -> r.statusCode() == 200).map(HttpResponse::body);
   }
 
-  /** How a change is sent: as a whole document or as a patch. */
+  /** The form of a change: a complete document or a patch. */
   public enum ChangeKind {
-    /** {@code PUT}: replaces the whole document. */
+    /** {@code PUT}: replaces the complete document. */
     PUT,
-    /** {@code PATCH}: adds, replaces and removes by name. */
+    /** {@code PATCH}: adds, replaces and removes elements by name. */
     PATCH
   }
 
   /**
    * Sends one configuration change to a control daemon.
    *
-   * @return the answer, or empty if the daemon did not answer
+   * @return the response, or empty if the daemon did not respond
    */
   public Optional<HttpResponse<String>> change(
       ChangeKind kind, String daemonUrl, String changeId, long expectedVersion, String body) {
@@ -91,7 +91,7 @@
             .build());
   }
 
-  /** Returns the version in the answer to an accepted change, or -1. */
+  /** Returns the version in the response to an accepted change, or -1 if it was not accepted. */
   public static long acceptedVersion(Optional<HttpResponse<String>> answer) {
     try {
       return answer.isPresent() && answer.get().statusCode() == 200
@@ -105,7 +105,7 @@
   /**
    * Injects link faults into a daemon started with {@code --fault-injection}.
    *
-   * @throws IllegalStateException if the daemon does not take them
+   * @throws IllegalStateException if the daemon does not accept them
    */
   public void injectFaults(String daemonUrl, Set<String> cutRegions, long delayMillis) {
     ObjectNode body = JSON.createObjectNode();
@@ -117,7 +117,7 @@
             .POST(HttpRequest.BodyPublishers.ofString(body.toString()))
             .build();
     if (send(request).filter(r -> r.statusCode() == 200).isEmpty()) {
-      throw new IllegalStateException(daemonUrl + " does not take injected faults");
+      throw new IllegalStateException(daemonUrl + " does not accept injected faults");
     }
   }
 }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/DemoDeployment.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/DemoDeployment.java
@@ -9,19 +9,19 @@
 import java.util.Map;
 
 /**
- * The embedded default deployment of the demo: Puhdas Seinä's three regions, two entry daemons
- * each, three control daemons, a writers service of eight engine runners, a request desk of three
- * plain-service runners, and the shipped trace and selectors.
+ * The bundled demo deployment of the organisation Puhdas Seinä. It has three regions with two entry
+ * daemons each, three control daemons, the service "writers" with eight engine runners, the service
+ * "desk" with three plain-service runners, and a bundled trace and selectors document.
  */
 public final class DemoDeployment {
-  /** The demo's regions. */
+  /** The regions of the demo deployment. */
   public static final List<String> REGIONS = List.of("uusimaa", "pirkanmaa", "pohjois-pohjanmaa");
 
   private static final int[] WRITER_RUNNERS = {3, 3, 2};
 
   private DemoDeployment() {}
 
-  /** Returns the demo topology. */
+  /** Returns the topology of the demo deployment. */
   public static LocalDeployment.Topology topology() {
     List<LocalDeployment.StandinGroup> groups = new ArrayList<>();
     for (int i = 0; i < REGIONS.size(); i++) {
@@ -43,12 +43,12 @@
         REGIONS, 2, 3, groups, resource("demo/selectors.yaml"), List.of());
   }
 
-  /** Returns the shipped trace. */
+  /** Returns the bundled trace. */
   public static List<TraceRequest> trace() {
     return TraceRequest.parse(resource("demo/trace.jsonl"));
   }
 
-  /** Reads a resource of this module as text. */
+  /** Returns a resource of this module as text. */
   public static String resource(String name) {
     try (InputStream in = DemoDeployment.class.getClassLoader().getResourceAsStream(name)) {
       if (in == null) {
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/DeploymentProcess.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/DeploymentProcess.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One process of a local deployment: started, signalled, and started again. */
+/** A process of a local deployment that can be started, signalled and restarted. */
 final class DeploymentProcess {
   private static final int SIGTERM_STATUS = 143;
   private static final Duration STOP_TIMEOUT = Duration.ofSeconds(30);
@@ -33,12 +33,12 @@
     return log;
   }
 
-  /** Returns whether it was killed or stopped on purpose and not started again. */
+  /** Returns whether the process was killed or stopped deliberately and not restarted. */
   boolean stopped() {
     return stopped;
   }
 
-  /** Starts it; its output is appended to the log. */
+  /** Starts the process and appends its output to the log. */
   void start(List<String> args) throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -53,20 +53,24 @@
     stopped = false;
   }
 
-  /** Kills it at once (SIGKILL). */
+  /** Kills the process with SIGKILL and waits for its exit. */
   void kill() throws InterruptedException {
     stopped = true;
     process.destroyForcibly();
     process.waitFor(STOP_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
   }
 
-  /** Asks it to stop (SIGTERM). */
+  /** Requests a graceful shutdown with SIGTERM. */
   void terminate() {
     stopped = true;
     process.destroy();
   }
 
-  /** Waits until it has stopped and returns its status; kills it and throws if it does not. */
+  /**
+   * Waits for the process to exit and returns its status.
+   *
+   * @throws IllegalStateException if it did not exit in time and was killed
+   */
   int awaitExit() throws InterruptedException {
     if (!process.waitFor(STOP_TIMEOUT.toSeconds(), TimeUnit.SECONDS)) {
       kill();
@@ -75,7 +79,7 @@
     return process.exitValue();
   }
 
-  /** Waits until it has stopped and returns whether it did so gracefully. */
+  /** Waits for the process to exit and returns whether it shut down gracefully. */
   boolean exitsCleanly() throws InterruptedException {
     try {
       int status = awaitExit();
@@ -85,12 +89,12 @@
     }
   }
 
-  /** Sends it a signal, such as STOP or CONT. */
+  /** Sends a signal such as STOP or CONT to the process. */
   void signal(String signal) throws IOException, InterruptedException {
     new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor();
   }
 
-  /** Returns the processor time it has used so far, in nanoseconds. */
+  /** Returns the CPU time that the process has used so far, in nanoseconds. */
   long cpuNanos() {
     return process.toHandle().info().totalCpuDuration().map(Duration::toNanos).orElse(0L);
   }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/LocalDeployment.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/LocalDeployment.java
@@ -16,12 +16,13 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Starts a whole deployment on loopback as separate OS processes: control daemons, entry daemons
- * per region and stand-in runners, each on ports it chose itself and reported in a port file.
- * Closing it stops every process gracefully (SIGTERM), entries and stand-ins first.
+ * Starts a complete deployment on the loopback interface as separate OS processes: control daemons,
+ * entry daemons per region and stand-in runners. Each process chooses its own ports and reports
+ * them in a port file. Closing the deployment stops every process gracefully (SIGTERM), entries and
+ * stand-ins first.
  *
- * <p>This is the demo's and the end-to-end tests' launcher, not part of the system: in production
- * each daemon is started by the instance's own service manager.
+ * <p>This is the launcher of the demo, the benchmarks and the end-to-end tests. In production each
+ * daemon is started by the service manager of its host.
  */
 public final class LocalDeployment implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -45,14 +46,14 @@
   /**
    * A group of stand-in runners in one process.
    *
-   * @param idPrefix runner ids are {@code <idPrefix>-<n>}
+   * @param idPrefix the prefix of the runner ids, which are {@code <idPrefix>-<n>}
    * @param kind {@code engine} or {@code service}
-   * @param region the region
-   * @param runners how many runners
+   * @param region the region of the runners
+   * @param runners the number of runners
    * @param model the model or service name
-   * @param labels labels to announce
-   * @param capacity concurrent requests per runner
-   * @param extraArgs further flags of the stand-in
+   * @param labels the announced labels
+   * @param capacity the number of concurrent requests per runner
+   * @param extraArgs additional command-line flags of the stand-in
    */
   public record StandinGroup(
       String idPrefix,
@@ -64,7 +65,7 @@
       int capacity,
       List<String> extraArgs) {
 
-    /** Creates a group without further flags. */
+    /** Creates a group without additional flags. */
     public StandinGroup(
         String idPrefix,
         String kind,
@@ -78,14 +79,14 @@
   }
 
   /**
-   * What to start.
+   * The processes of a deployment and its configuration.
    *
-   * @param regions region names
-   * @param entriesPerRegion entry daemons per region
-   * @param controls control daemons (in the first regions, round robin)
-   * @param standins stand-in groups
-   * @param configDocument the selectors document applied once the control role is up
-   * @param daemonArgs further flags for every daemon
+   * @param regions the names of the regions
+   * @param entriesPerRegion the number of entry daemons per region
+   * @param controls the number of control daemons, assigned to the regions round robin
+   * @param standins the groups of stand-in runners
+   * @param configDocument the selectors document that is applied after the start of the daemons
+   * @param daemonArgs additional command-line flags of every daemon
    */
   public record Topology(
       List<String> regions,
@@ -94,14 +95,14 @@
       List<StandinGroup> standins,
       String configDocument,
       List<String> daemonArgs) {
-    /** Copies the lists so the topology is immutable. */
+    /** Copies the lists so that the topology is immutable. */
     public Topology {
       regions = List.copyOf(regions);
       standins = List.copyOf(standins);
       daemonArgs = List.copyOf(daemonArgs);
     }
 
-    /** Returns this topology with further flags for every daemon. */
+    /** Returns this topology with additional flags for every daemon. */
     public Topology withDaemonArgs(String... more) {
       List<String> all = new ArrayList<>(daemonArgs);
       all.addAll(List.of(more));
@@ -123,13 +124,13 @@
   }
 
   /**
-   * Starts the deployment and waits until every entry knows the configuration and its region's
-   * endpoints.
+   * Starts a deployment and waits until every entry has applied the configuration and recorded the
+   * endpoints of its region.
    *
-   * @param topology what to start
-   * @param workDir folder for logs, port files and data folders
+   * @param topology the processes to start and their configuration
+   * @param workDir the directory for logs, port files and data directories
    * @return the running deployment
-   * @throws Exception if a process does not come up within the start timeout
+   * @throws Exception if a process does not start within {@link #START_TIMEOUT}
    */
   public static LocalDeployment start(Topology topology, Path workDir) throws Exception {
     LocalDeployment d = new LocalDeployment(topology, workDir);
@@ -167,7 +168,7 @@
     }
   }
 
-  /** Waits until an entry is ready and knows as many endpoints as its region has runners. */
+  /** Waits until an entry is ready and has recorded an endpoint for each runner of its region. */
   public void awaitEndpoints(String node) throws Exception {
     awaitCondition(node + " is ready", () -> client.isReady(urlOf(node)));
     String region = entryRegionByNode.get(node);
@@ -177,7 +178,8 @@
             .mapToInt(StandinGroup::runners)
             .sum();
     awaitCondition(
-        node + " knows " + expected + " endpoints", () -> endpoints(node).size() >= expected);
+        node + " has recorded " + expected + " endpoints",
+        () -> endpoints(node).size() >= expected);
   }
 
   private void startControl(String node, List<String> group, String region) throws Exception {
@@ -206,7 +208,7 @@
     return args;
   }
 
-  /** Starts a daemon on free ports; a restart reuses them and leaves out the first-start flags. */
+  /** Starts a daemon on free ports. A restart reuses the ports and omits the first-start flags. */
   private JsonNode startDaemon(String node, List<String> args, List<String> firstStartArgs)
       throws Exception {
     Path portFile = workDir.resolve(node + ".ports");
@@ -279,7 +281,7 @@
     process.start(args);
   }
 
-  /** Kills a process at once (SIGKILL). */
+  /** Kills a process with SIGKILL. */
   public void kill(String name) throws InterruptedException {
     processes.get(name).kill();
   }
@@ -290,7 +292,7 @@
     return processes.get(name).awaitExit();
   }
 
-  /** Starts a killed or stopped process again, a daemon at its old addresses. */
+  /** Restarts a killed or stopped process. A daemon keeps its previous addresses. */
   public void restart(String name) throws Exception {
     List<String> args = new ArrayList<>(restartArgs.get(name));
     if (!standinUrls.containsKey(name)) {
@@ -308,12 +310,12 @@
     processes.get(name).signal("STOP");
   }
 
-  /** Lets a frozen process go on (SIGCONT). */
+  /** Resumes a frozen process (SIGCONT). */
   public void resume(String name) throws Exception {
     processes.get(name).signal("CONT");
   }
 
-  /** Empties the data folder of a stopped control daemon, as a lost disk does. */
+  /** Deletes the data files of a stopped control daemon, which simulates a lost disk. */
   public void loseDisk(String node) throws IOException {
     try (var files = Files.list(dataDir(node))) {
       for (Path file : files.toList()) {
@@ -323,7 +325,7 @@
   }
 
   /**
-   * Returns the sum of a counter over the engines' {@code GET /v1/stats}, in the running groups.
+   * Returns the sum of a counter in {@code GET /v1/stats} over the engines of the running groups.
    */
   public long engineCounter(String counter) {
     return standinUrls.entrySet().stream()
@@ -334,7 +336,7 @@
         .sum();
   }
 
-  /** Returns the client of this deployment's daemons. */
+  /** Returns the client that is used for the daemons of this deployment. */
   public DaemonClient client() {
     return client;
   }
@@ -353,7 +355,7 @@
    * Applies a configuration document, resending the same change to each control daemon in turn
    * until one accepts it.
    *
-   * @return the version it got
+   * @return the version of the accepted configuration
    */
   public long applyConfig(String document) throws Exception {
     String changeId = UUID.randomUUID().toString();
@@ -377,12 +379,16 @@
     return version[0];
   }
 
-  /** Returns what an entry knows of the endpoints; nothing if it does not answer. */
+  /** Returns the endpoints that an entry has recorded, or an empty array if it does not respond. */
   public JsonNode endpoints(String node) {
     return client.document(urlOf(node) + "/v1/endpoints").orElseGet(JSON::createArrayNode);
   }
 
-  /** Polls a condition every 50 ms until it holds or the start timeout passes. */
+  /**
+   * Polls a condition every 50 ms until it holds.
+   *
+   * @throws IllegalStateException if it does not hold within {@link #START_TIMEOUT}
+   */
   public static void awaitCondition(String what, BooleanSupplier condition) throws Exception {
     long deadline = System.nanoTime() + START_TIMEOUT.toNanos();
     while (!condition.getAsBoolean()) {
@@ -393,41 +399,41 @@
     }
   }
 
-  /** Returns entry base URLs by node id. */
+  /** Returns the base URLs of the entries by node id. */
   public Map<String, String> entries() {
     return Map.copyOf(entryUrlByNode);
   }
 
-  /** Returns the region of each entry node. */
+  /** Returns the regions of the entries by node id. */
   public Map<String, String> entryRegions() {
     return Map.copyOf(entryRegionByNode);
   }
 
-  /** Returns the region of every daemon. */
+  /** Returns the regions of all daemons by node id. */
   public Map<String, String> regionsByNode() {
     Map<String, String> all = new LinkedHashMap<>(controlRegionByNode);
     all.putAll(entryRegionByNode);
     return all;
   }
 
-  /** Returns the control daemons' base URLs. */
+  /** Returns the base URLs of the control daemons. */
   public List<String> controls() {
     return List.copyOf(controlUrlByNode.values());
   }
 
-  /** Returns the control daemons' node ids. */
+  /** Returns the node ids of the control daemons. */
   public List<String> controlNodes() {
     return List.copyOf(controlUrlByNode.keySet());
   }
 
-  /** Returns the stand-in runners' base URLs by group prefix. */
+  /** Returns the base URLs of the stand-in runners by id prefix of their group. */
   public Map<String, List<String>> standins() {
     return Map.copyOf(standinUrls);
   }
 
   /**
-   * Returns the processor time the named processes have used so far, in nanoseconds, as the
-   * operating system reports it.
+   * Returns the total CPU time of the processes whose names match, in nanoseconds, as reported by
+   * the operating system.
    */
   public long cpuNanos(java.util.function.Predicate<String> names) {
     return processes.values().stream()
@@ -442,8 +448,8 @@
   }
 
   /**
-   * Stops the stand-ins and entries, then the control daemons, each by SIGTERM (a graceful
-   * shutdown), and waits for them to exit; returns the names of those that did not exit cleanly.
+   * Shuts down the stand-ins and entries, then the control daemons, gracefully with SIGTERM. Waits
+   * for the processes to exit and returns the names of those that did not exit cleanly.
    */
   public List<String> stop() throws InterruptedException {
     List<DeploymentProcess> running =
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/OrderBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/OrderBench.java
@@ -7,9 +7,9 @@
 import java.util.function.Consumer;
 
 /**
- * Sends non-idempotent orders to one region of the demo deployment for a while, with resends, while
- * its entries are killed, frozen and stopped by turns; reports whether any order ran twice, or ran
- * although every answer said it was not run.
+ * Sends non-idempotent orders, with resends, to one region of the demo deployment while its entries
+ * are killed, frozen and stopped in turn. Reports whether any order ran twice, or ran although
+ * every response reported it as not run.
  */
 public final class OrderBench {
   private static final String REGION = "uusimaa";
@@ -19,17 +19,17 @@
   private final int seconds;
   private final Consumer<String> out;
 
-  /** Creates the bench running for the given time and writing its report to the given sink. */
+  /** Creates a benchmark that runs for the given time and writes its report to the consumer. */
   public OrderBench(int seconds, Consumer<String> out) {
     this.seconds = seconds;
     this.out = out;
   }
 
   /**
-   * Runs the bench.
+   * Runs the benchmark.
    *
-   * @param workDir folder for logs and data
-   * @return whether no order ran twice and every answer was true
+   * @param workDir the directory for logs and data
+   * @return whether no order ran twice and no response reported a wrong outcome
    * @throws Exception if the deployment does not start
    */
   public boolean run(Path workDir) throws Exception {
@@ -46,7 +46,7 @@
       load.finish(sending);
       out.accept("faults " + faults + ", " + load.summary());
       out.accept(
-          "answered two ways "
+          "keys with different orders "
               + load.keysAnsweredTwoWays().size()
               + ", served and not run "
               + load.servedKeysNotRun().size()
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/OrderLoad.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/OrderLoad.java
@@ -24,9 +24,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Callers that send non-idempotent orders to the entries of one region, twice at once and again
- * after every refusal or lost answer, until an answer is final; afterwards the stand-in service's
- * run counter is compared with what the callers heard.
+ * Simulates callers that send non-idempotent orders to the entries of one region. Each order is
+ * sent twice concurrently and resent after every refusal or lost response, until a response is
+ * final. Afterwards the run counters of the stand-in service are compared with the responses.
  */
 public final class OrderLoad {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -52,19 +52,19 @@
           .build();
   private Map<String, Integer> runs = Map.of();
 
-  /** Whether a caller is told something final about its order. */
+  /** Whether a response is final, or the caller must resend the order. */
   private enum Finality {
     FINAL,
     ASK_AGAIN
   }
 
   /**
-   * Creates the load.
+   * Creates a load that is not started.
    *
-   * @param deployment the deployment
-   * @param entries the entry nodes callers choose among
-   * @param runners the base URLs of the stand-in service's runners
-   * @param name distinguishes the keys of this load
+   * @param deployment the deployment that receives the orders
+   * @param entries the node ids of the entries that the orders are sent to
+   * @param runners the base URLs of the runners of the stand-in service
+   * @param name the prefix of the idempotency keys of this load
    */
   public OrderLoad(
       LocalDeployment deployment, List<String> entries, List<String> runners, String name) {
@@ -74,7 +74,7 @@
     this.name = name;
   }
 
-  /** Starts the callers; they go on until {@link #finish}. */
+  /** Starts the callers, which send orders until {@link #finish} is called. */
   public CompletableFuture<Void> start() {
     List<CompletableFuture<Void>> all = new ArrayList<>();
     for (int i = 0; i < CALLERS; i++) {
@@ -83,7 +83,7 @@
     return CompletableFuture.allOf(all.toArray(new CompletableFuture<?>[0]));
   }
 
-  /** Ends the load once every order has its final answer, and reads the run counters. */
+  /** Stops the load, waits for the final response to every order and reads the run counters. */
   public void finish(CompletableFuture<Void> started) throws Exception {
     pause(SETTLE_MILLIS);
     stopping.set(true);
@@ -148,7 +148,7 @@
         key, word, (held, next) -> held.equals("served") ? held : worse(held, next));
   }
 
-  /** Keeps a word that leaves the outcome open over one that says the order was not run. */
+  /** Returns the outcome that leaves it open whether the order ran, if either of them does. */
   private static String worse(String held, String next) {
     return saysNotRun(held) ? next : held;
   }
@@ -173,12 +173,12 @@
     return all;
   }
 
-  /** Returns how often each key was run. */
+  /** Returns the number of runs by key. */
   public Map<String, Integer> runsByKey() {
     return runs;
   }
 
-  /** Returns the keys whose callers were given different orders. */
+  /** Returns the keys whose responses contain different orders. */
   public Set<String> keysAnsweredTwoWays() {
     Set<String> keys = new TreeSet<>();
     ordersByKey.forEach(
@@ -190,14 +190,14 @@
     return keys;
   }
 
-  /** Returns the keys answered with an order that no runner ran. */
+  /** Returns the keys with a successful response that no runner has run. */
   public Set<String> servedKeysNotRun() {
     Set<String> keys = new TreeSet<>(ordersByKey.keySet());
     keys.removeAll(runs.keySet());
     return keys;
   }
 
-  /** Returns the keys of which every answer said not run, and which a runner ran. */
+  /** Returns the keys that a runner has run although every response reported them as not run. */
   public Set<String> refusedKeysThatRan() {
     Set<String> keys = new TreeSet<>();
     lastWordByKey.forEach(
@@ -209,27 +209,27 @@
     return keys;
   }
 
-  /** Returns the number of keys served. */
+  /** Returns the number of keys with a successful response. */
   public int served() {
     return ordersByKey.size();
   }
 
-  /** Returns what callers heard, and how many keys were run more than once. */
+  /** Returns the number of responses by outcome, and the number of keys run more than once. */
   public String summary() {
     Map<String, Integer> heard = new TreeMap<>();
     words.forEach((word, n) -> heard.put(word, n.get()));
     long doubled = runs.values().stream().filter(n -> n > 1).count();
     return "orders "
         + nextOrder.get()
-        + ", answers "
+        + ", outcomes "
         + heard
         + ", keys run "
         + runs.size()
-        + ", doubled "
+        + ", keys run more than once "
         + doubled;
   }
 
-  /** Sleeps, for a fault's duration. */
+  /** Sleeps for the given time, or until the thread is interrupted. */
   public static void pause(long millis) {
     try {
       TimeUnit.MILLISECONDS.sleep(millis);
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/PolicyBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/PolicyBench.java
@@ -13,10 +13,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Compares routing policies on the same trace, each on a deployment of its own, while a region
- * loses most of its engines and its traffic lands on others whose caches are cold. The measures are
- * the brief's: cost (engine step-seconds per served request), tail latency of reviews and of
- * questions apart, and the share of requests sent to another region.
+ * Compares routing policies on the same trace, each on a separate deployment, while a region loses
+ * most of its engines and its traffic moves to engines with cold caches. Measures the cost (engine
+ * step time per served request), the tail latency of reviews and of questions separately, and the
+ * share of requests sent to another region.
  */
 public final class PolicyBench {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -29,22 +29,25 @@
   private final Consumer<String> out;
 
   /**
-   * What to run.
+   * The parameters of a run.
    *
-   * @param policies the routing policies, by name
-   * @param seconds the trace's length; the region loses its engines after a third of it
-   * @param requestsPerSecond the trace's mean rate
-   * @param seed the trace's seed
+   * @param policies the names of the routing policies
+   * @param seconds the length of the trace; the region loses its engines after a third of it
+   * @param requestsPerSecond the mean rate of the trace over all regions
+   * @param seed the seed of the trace
    */
   public record Options(List<String> policies, int seconds, double requestsPerSecond, long seed) {}
 
-  /** Creates the bench writing JSON lines to the given sink. */
+  /** Creates a benchmark that writes JSON lines to the given consumer. */
   public PolicyBench(Options options, Consumer<String> out) {
     this.options = options;
     this.out = out;
   }
 
-  /** Runs every policy and returns whether none served a request outside its residency. */
+  /**
+   * Runs every policy and returns whether no request was served outside its residency and no
+   * response was corrupted.
+   */
   public boolean run(Path workDir) throws Exception {
     List<TraceRequest> trace =
         WorkloadTrace.generate(
@@ -108,7 +111,7 @@
     return deployment.urlOf(r.region() + "-entry-" + (1 + r.atMillis() % 2));
   }
 
-  /** Kills the first region's lost engines and returns what they had counted. */
+  /** Kills the engines that the first region loses and returns their counters before the kill. */
   private Counters loseEngines(LocalDeployment deployment) {
     try {
       TimeUnit.MILLISECONDS.sleep(options.seconds() * 1000L / 3);
@@ -120,7 +123,7 @@
     }
   }
 
-  /** The engines' counters, summed. */
+  /** The counters summed over all running engines. */
   private record Counters(long busyMicros, long hits, long misses) {
     static Counters read(LocalDeployment deployment) throws Exception {
       return new Counters(
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ReplayResult.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ReplayResult.java
@@ -6,10 +6,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What a replay of a trace measured.
+ * The measurements of a trace replay.
  *
- * <p>Latencies are in microseconds: first token from sending the request to the first content
- * chunk, between tokens from one content chunk to the next.
+ * <p>Latencies are in microseconds. The time to the first token is measured from sending the
+ * request to the first content chunk, the gap between tokens from one content chunk to the next.
  */
 public final class ReplayResult {
   private static final long MAX_MICROS = 120_000_000L;
@@ -23,7 +23,7 @@
   /** Time to the first token of short questions, microseconds. */
   public final Histogram questionFirstTokenMicros = new Histogram(MAX_MICROS, 3);
 
-  /** Gap between tokens, microseconds. */
+  /** Time between consecutive tokens, microseconds. */
   public final Histogram betweenTokensMicros = new Histogram(MAX_MICROS, 3);
 
   /** Requests by outcome: served, not_run, outcome_unknown, ... */
@@ -32,16 +32,16 @@
   /** Served requests by the region that served them. */
   public final Map<String, Integer> servedByRegion = new TreeMap<>();
 
-  /** Served requests by the caller's region. */
+  /** Served requests by the region of the caller. */
   public final Map<String, Integer> callersByRegion = new TreeMap<>();
 
-  /** Requests served in another region than the caller's. */
+  /** Served requests whose serving region differs from the region of the caller. */
   public int crossRegion;
 
-  /** Answers that carried a token of another request, or ended without completing. */
+  /** Responses that contained a token of another request or ended without being complete. */
   public int corrupted;
 
-  /** Served requests whose serving region was outside their residency. */
+  /** Served requests whose serving region is outside their residency. */
   public int outsideResidency;
 
   synchronized void firstToken(TraceRequest request, long micros) {
@@ -75,18 +75,18 @@
     outsideResidency += outside ? 1 : 0;
   }
 
-  /** Returns the number of requests with this outcome. */
+  /** Returns the number of requests with the given outcome. */
   public synchronized int outcome(String name) {
     return outcomes.getOrDefault(name, 0);
   }
 
-  /** Returns the share of served requests that crossed regions, 0 to 1. */
+  /** Returns the share of served requests that were served in another region, 0 to 1. */
   public synchronized double crossRegionShare() {
     int served = outcome("served");
     return served == 0 ? 0 : crossRegion / (double) served;
   }
 
-  /** Returns a short human-readable report. */
+  /** Returns a human-readable report under the given title. */
   public synchronized String report(String title) {
     StringBuilder b = new StringBuilder();
     b.append(title).append('\n');
@@ -94,7 +94,7 @@
     b.append("  served by region: ").append(servedByRegion).append('\n');
     b.append("  callers by region: ").append(callersByRegion).append('\n');
     b.append(String.format("  cross-region share: %.3f%n", crossRegionShare()));
-    b.append("  corrupted answers: ").append(corrupted).append('\n');
+    b.append("  corrupted responses: ").append(corrupted).append('\n');
     b.append("  served outside residency: ").append(outsideResidency).append('\n');
     b.append(
         String.format(
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ReplayedAnswer.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ReplayedAnswer.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * One answer of a replay as it arrives: checks that every token carries the request's own id and
- * that the answer is complete, and records its latencies and outcome.
+ * Processes a response of a replay while it arrives. Checks that every token contains the request
+ * id and that the response is complete, and records latencies and the outcome.
  */
 final class ReplayedAnswer {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -30,7 +30,7 @@
     this.result = result;
   }
 
-  /** Takes a part of the body. */
+  /** Processes a chunk of the response body. */
   void part(int status, String text) {
     unread.append(text);
     if (status != 200 || !request.stream()) {
@@ -66,9 +66,9 @@
   }
 
   /**
-   * Ends the answer.
+   * Records the outcome at the end of the response.
    *
-   * @param servedIn the region that served it, if it was named
+   * @param servedIn the region that served the request, if the response states it
    */
   void end(int status, Optional<String> servedIn) {
     if (status != 200) {
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
@@ -42,9 +42,10 @@
 import org.lacewingcroft.routing.RoutingPolicy;
 
 /**
- * In-process measurements of the slopes {@code docs/CAPACITY.md} scales from: processor time of a
- * routing decision per known endpoint, processor time and heap of a configuration version per
- * organisation, and heartbeat bytes and processor time per daemon per member. Each measurement
+ * Measures in-process how cost grows with size, for the extrapolation in {@code docs/CAPACITY.md}:
+ * the CPU time of a routing decision by number of endpoints, the CPU time and heap of a
+ * configuration version by number of organisations, and the gossip bytes and CPU time of a daemon
+ * by number of members. It also measures the append time of the control log. Each measurement
  * prints one JSON line.
  */
 public final class SlopeBench {
@@ -73,12 +74,12 @@
 
   private final Consumer<String> out;
 
-  /** Creates the bench writing JSON lines to the given sink. */
+  /** Creates a benchmark that writes JSON lines to the given consumer. */
   public SlopeBench(Consumer<String> out) {
     this.out = out;
   }
 
-  /** Measures a routing decision's processor time against the endpoints in the directory. */
+  /** Measures the CPU time of a routing decision by number of endpoints in the directory. */
   public void routing(List<Integer> endpointCounts, int decisions) {
     GatewayConfig config =
         ConfigParser.parse(
@@ -135,7 +136,7 @@
         "puhdas-seina", "writer", "normal", Set.of(), false, Set.of(), 4_000, "prefix-" + (i % 97));
   }
 
-  /** Measures parsing and holding a configuration version against its organisations. */
+  /** Measures the CPU time and heap of a configuration version by number of organisations. */
   public void configuration(List<Integer> organisationCounts) {
     for (int n : organisationCounts) {
       StringBuilder doc = new StringBuilder("selectors:\n");
@@ -190,9 +191,10 @@
   }
 
   /**
-   * Runs {@code members} in-process daemons' membership on loopback, {@link #MEMBERS_PER_REGION} in
-   * a region, and measures in the second half of the given time the gossip bytes each sends per
-   * second, the process's processor time, and how many members are suspected though all live.
+   * Runs the membership of the given numbers of daemons in-process on the loopback interface, with
+   * {@link #MEMBERS_PER_REGION} members per region. Measures in the second half of each run the
+   * gossip bytes sent per second and member, the CPU time of the process, and the number of falsely
+   * suspected members.
    */
   public void membership(List<Integer> memberCounts, Duration run, Duration interval)
       throws Exception {
@@ -270,8 +272,8 @@
   }
 
   /**
-   * Measures the control log's durable append (write plus fsync) on this machine's disk, for a
-   * change of the given size in bytes.
+   * Measures the duration of a durable append (write and fsync) to the control log on the local
+   * disk, for changes of the given size in bytes.
    */
   public void controlLog(int appends, int changeBytes) throws Exception {
     java.nio.file.Path dir = java.nio.file.Files.createTempDirectory("lwc-log-bench");
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/TraceReplayer.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/TraceReplayer.java
@@ -18,10 +18,10 @@
 import java.util.function.Function;
 
 /**
- * Replays a recorded trace against a gateway (or straight against an engine) and checks every
- * answer: each content token must carry the request's own id, and a stream must end with {@code
- * [DONE]}; otherwise the answer counts as corrupted. A stream that ends with an error event counts
- * as broken off: its caller knows that it is not complete.
+ * Replays a recorded trace against a gateway, or directly against an engine, and checks every
+ * response. Each content token must contain the request id, and a stream must end with {@code
+ * [DONE]}. Otherwise the response counts as corrupted. A stream that ends with an error event
+ * counts as {@code broken_off} instead, because the caller can detect that it is incomplete.
  */
 public final class TraceReplayer implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -33,12 +33,13 @@
           new HttpClientOptions().setKeepAlive(true), new PoolOptions().setHttp1MaxSize(64));
 
   /**
-   * Replays the trace.
+   * Replays a trace and waits for all responses.
    *
-   * @param trace the requests
-   * @param targetFor the base URL to send each request to (an entry of its region, or an engine)
+   * @param trace the requests to send
+   * @param targetFor returns the base URL that a request is sent to (an entry of its region, or an
+   *     engine)
    * @return the measurements
-   * @throws InterruptedException if interrupted while waiting for answers
+   * @throws InterruptedException if interrupted while waiting for responses
    */
   public ReplayResult replay(List<TraceRequest> trace, Function<TraceRequest, String> targetFor)
       throws InterruptedException {
@@ -103,13 +104,13 @@
     done.countDown();
   }
 
-  /** Returns the first entry URL that a daemon ranks for the region, from GET /v1/entries. */
+  /** Returns the URL of the highest-ranked entry in a response body of {@code GET /v1/entries}. */
   public static String firstEntry(String entriesJson) {
     try {
       JsonNode n = JSON.readTree(entriesJson).path("entries");
       return n.path(0).path("url").asText();
     } catch (java.io.IOException e) {
-      throw new IllegalArgumentException("bad entries answer: " + entriesJson, e);
+      throw new IllegalArgumentException("invalid entries response: " + entriesJson, e);
     }
   }
 
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/TraceRequest.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/TraceRequest.java
@@ -9,17 +9,17 @@
 import java.util.Optional;
 
 /**
- * One request of a recorded trace, as a JSON line: {@code atMillis}, {@code region} (the caller's),
- * {@code organisation}, {@code model}, {@code prompt}, {@code maxTokens}, {@code stream}, optional
- * {@code residency} (comma-separated) and {@code idempotencyKey}.
+ * A request of a recorded trace. Its JSON line has the fields {@code atMillis}, {@code region},
+ * {@code organisation}, {@code model}, {@code prompt}, {@code maxTokens}, {@code stream}, and
+ * optionally {@code residency} (comma-separated regions) and {@code idempotencyKey}.
  *
- * @param atMillis when to send it, from the start of the replay
- * @param region the caller's region, used to pick an entry
- * @param organisation the caller's organisation
- * @param model the model
+ * @param atMillis the send time relative to the start of the replay, in milliseconds
+ * @param region the region of the caller, which selects the entry
+ * @param organisation the organisation of the caller
+ * @param model the requested model
  * @param prompt the prompt text
- * @param maxTokens tokens to generate
- * @param stream whether to stream
+ * @param maxTokens the number of tokens to generate
+ * @param stream whether the response is streamed
  * @param residency the residency header, if any
  * @param idempotencyKey the idempotency key, if any
  */
@@ -35,7 +35,7 @@
     Optional<String> idempotencyKey) {
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** Parses a trace of JSON lines, skipping blank lines. */
+  /** Parses a trace of JSON lines and skips blank lines. */
   public static List<TraceRequest> parse(String text) {
     List<TraceRequest> requests = new ArrayList<>();
     for (String line : text.split("\n")) {
@@ -56,15 +56,15 @@
                 Optional.ofNullable(n.get("residency")).map(JsonNode::asText),
                 Optional.ofNullable(n.get("idempotencyKey")).map(JsonNode::asText)));
       } catch (IOException e) {
-        throw new UncheckedIOException("bad trace line: " + line, e);
+        throw new UncheckedIOException("invalid trace line: " + line, e);
       }
     }
     return requests;
   }
 
   /**
-   * Returns the trace repeated {@code copies} times, each copy's send times divided by {@code
-   * speedup}, so the same mix arrives at a higher rate.
+   * Returns the trace repeated {@code copies} times, with all send times divided by {@code
+   * speedup}, so that the same workload arrives at a higher rate.
    */
   public static List<TraceRequest> scaled(List<TraceRequest> trace, int copies, double speedup) {
     List<TraceRequest> out = new ArrayList<>();
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/VersionWatch.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/VersionWatch.java
@@ -8,8 +8,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Watches the configuration version in force at every daemon of a deployment, one polling thread
- * each, and counts every step back as a revert, over restarts of the daemon too.
+ * Polls the active configuration version of every daemon of a deployment, with one thread per
+ * daemon. Every observation of an older version counts as a revert, also across restarts of the
+ * daemon.
  */
 public final class VersionWatch implements AutoCloseable {
   private static final long POLL_MILLIS = 10;
@@ -40,7 +41,7 @@
     }
   }
 
-  /** Starts watching the given daemons. */
+  /** Creates a watcher and starts polling the given daemons. */
   public VersionWatch(LocalDeployment deployment, List<String> nodes) {
     this.deployment = deployment;
     for (String node : nodes) {
@@ -67,12 +68,15 @@
     }
   }
 
-  /** Returns when a daemon was first seen with this version or a newer one, if it was. */
+  /**
+   * Returns the {@link System#nanoTime} at which this or a newer version was first observed on a
+   * daemon, or empty if it was not.
+   */
   public Optional<Long> inForceAtNanos(String node, long version) {
     return tracks.get(node).inForceAt(version);
   }
 
-  /** Returns the number of polls that saw an older version than one before, over all daemons. */
+  /** Returns the number of polls of all daemons that returned an older version than before. */
   public int reverts() {
     return tracks.values().stream().mapToInt(t -> t.reverts).sum();
   }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/WorkloadTrace.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/WorkloadTrace.java
@@ -6,12 +6,13 @@
 import java.util.Random;
 
 /**
- * A reproducible trace of the users' mix: long history reviews that share long prompt prefixes by
- * case, and short questions that share a short one. Arrivals are Poisson; regions differ in load,
- * and a share of the requests is bound to the caller's home.
+ * Generates reproducible traces of a typical workload: long history reviews, which share a long
+ * prompt prefix per case, and short questions, which share a short one. Arrivals form a Poisson
+ * process, regions differ in load, and a share of the requests must be served in the region of the
+ * caller.
  */
 public final class WorkloadTrace {
-  /** The prompt length, in characters, from which a request counts as a review. */
+  /** The minimum prompt length of a review, in characters. */
   public static final int REVIEW_CHARS = 4_000;
 
   private static final int CASES_PER_REGION = 24;
@@ -26,10 +27,10 @@
   /**
    * Generates a trace.
    *
-   * @param regions the callers' regions; the first gets twice the load of the others
-   * @param seconds its length
-   * @param requestsPerSecond its mean rate over all regions
-   * @param seed its seed
+   * @param regions the regions of the callers; the first one has twice the load of each other one
+   * @param seconds the length of the trace
+   * @param requestsPerSecond the mean rate over all regions
+   * @param seed the seed of the random generator
    */
   public static List<TraceRequest> generate(
       List<String> regions, int seconds, double requestsPerSecond, long seed) {
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/BatchingEngine.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/BatchingEngine.java
@@ -18,12 +18,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The stand-in engine's continuous batching: one step emits a token to every running sequence whose
- * prompt has been read; more sequences than its capacity wait. A bounded prefix cache saves reading
- * a prompt that shares its beginning with an earlier one.
+ * Simulates an engine with continuous batching. Each step emits one token to every running sequence
+ * whose prefill is complete. Sequences beyond the capacity wait in a queue. A bounded prefix cache
+ * shortens the prefill of a prompt that shares its beginning with an earlier one.
  *
- * <p>Runs on one event loop. Every token carries the request's id, so that a caller can tell its
- * own answer from another's.
+ * <p>Confined to one event loop thread. Every token contains the request id, so that a caller can
+ * detect tokens that belong to the response of another request.
  */
 final class BatchingEngine {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -43,7 +43,7 @@
   private long stepDueNanos;
   private boolean stepScheduled;
 
-  /** One request being answered. */
+  /** A request that is waiting or running. */
   private static final class Sequence {
     final HttpServerResponse response;
     final boolean stream;
@@ -72,7 +72,7 @@
   /**
    * Creates an idle engine.
    *
-   * @param inFlight counts the requests in flight, waiting ones included
+   * @param inFlight the counter of requests in flight, including waiting ones
    */
   BatchingEngine(Vertx vertx, RunnerSpec spec, AtomicInteger inFlight) {
     this.vertx = vertx;
@@ -81,7 +81,7 @@
     this.cache = new PrefixCache(spec.prefixCacheEntries(), spec.reportLag().toNanos());
   }
 
-  /** Serves a chat completion request. */
+  /** Queues a chat completion request and responds to it. */
   void serve(HttpServerRequest request, Buffer body) {
     JsonNode root;
     try {
@@ -107,7 +107,7 @@
     schedule();
   }
 
-  /** Returns the counters of work done: busy time, cache hits and misses. */
+  /** Returns the counters of busy time in microseconds, cache hits and cache misses. */
   ObjectNode stats() {
     ObjectNode stats = JSON.createObjectNode();
     stats.put("busyMicros", busyMicros.get());
@@ -116,7 +116,7 @@
     return stats;
   }
 
-  /** Returns the hashes of the prefixes its cache events have told of so far. */
+  /** Returns the hashes of the cached prefixes according to the cache events reported so far. */
   Set<String> reportedPrefixes() {
     return cache.reported(System.nanoTime());
   }
@@ -139,7 +139,7 @@
     vertx.setTimer(Math.max(1, waitMillis), id -> step());
   }
 
-  /** Reads a chunk of the oldest unread prompts and returns the time that takes. */
+  /** Prefills one chunk of the oldest pending prompts and returns its duration in microseconds. */
   private long readPrompts() {
     long chunkMicros = spec.timing().maxChunk().toNanos() / 1000;
     long left = chunkMicros;
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/Main.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/Main.java
@@ -21,8 +21,9 @@
 import picocli.CommandLine.Option;
 
 /**
- * Runs one or more stand-in runners in one process, {@code lacewingcroft-standin}: model engines or
- * a plain service, each on its own free port, announcing themselves to the given gateways.
+ * The command {@code lacewingcroft-standin}, which runs one or more stand-in runners in one
+ * process. The runners are model engines or a plain service. Each one listens on its own free port
+ * and announces itself to the given gateways.
  */
 @Command(
     name = "lacewingcroft-standin",
@@ -37,7 +38,7 @@
   @Option(names = "--id-prefix", required = true, description = "runner ids are <prefix>-<n>")
   String idPrefix;
 
-  @Option(names = "--runners", defaultValue = "1", description = "how many runners")
+  @Option(names = "--runners", defaultValue = "1", description = "number of runners")
   int runners;
 
   @Option(names = "--region", required = true)
@@ -61,22 +62,28 @@
   @Option(names = "--step-millis", defaultValue = "4", description = "engine step duration")
   long stepMillis;
 
-  @Option(names = "--announce-millis", defaultValue = "1000", description = "lease renewal period")
+  @Option(
+      names = "--announce-millis",
+      defaultValue = "1000",
+      description = "lease renewal interval")
   long announceMillis;
 
   @Option(names = "--report-lag-millis", defaultValue = "2000", description = "load report lag")
   long reportLagMillis;
 
-  @Option(names = "--checks-fencing", defaultValue = "false", description = "refuse old tokens")
+  @Option(
+      names = "--checks-fencing",
+      defaultValue = "false",
+      description = "refuse outdated tokens")
   boolean checksFencing;
 
   @Option(names = "--prefix-cache", defaultValue = "64", description = "cached prefixes")
   int prefixCache;
 
-  @Option(names = "--port-file", description = "write the runners' URLs here as JSON")
+  @Option(names = "--port-file", description = "file for the runner URLs as a JSON array")
   Path portFile;
 
-  /** Runs the stand-ins with the given arguments. */
+  /** Runs the stand-ins and exits with the status of the command. */
   public static void main(String[] args) {
     System.exit(new CommandLine(new Main()).execute(args));
   }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/PrefixCache.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/PrefixCache.java
@@ -11,8 +11,8 @@
 import org.lacewingcroft.misc.PrefixHash;
 
 /**
- * A bounded least-recently-used set of cached prompt prefixes, as an engine's KV cache, with its
- * cache events: what it holds is reported late, and a share of the events is never reported.
+ * A bounded set of prompt prefixes with least-recently-used eviction, which simulates the KV cache
+ * of an engine. Cache events are reported with a lag, and a share of them is never reported.
  */
 final class PrefixCache {
   private static final double LOST_EVENTS = 0.1;
@@ -31,7 +31,7 @@
     this.lagNanos = lagNanos;
   }
 
-  /** Returns whether the prefix was cached, and caches it. */
+  /** Adds the prefix to the cache and returns whether it was already cached. */
   boolean lookupAndAdd(String prefix, long nowNanos) {
     String hash = PrefixHash.of(prefix);
     boolean hit = entries.containsKey(hash);
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Returns the hashes that the events old enough to be reported say are held. */
+  /** Returns the hashes that are cached according to the events older than the reporting lag. */
   Set<String> reported(long nowNanos) {
     while (!unreported.isEmpty() && unreported.peek().atNanos() + lagNanos <= nowNanos) {
       Event event = unreported.poll();
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/RunnerSpec.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/RunnerSpec.java
@@ -6,21 +6,21 @@
 import org.lacewingcroft.endpoint.EndpointKind;
 
 /**
- * What one stand-in runner is and where it announces itself.
+ * The properties of a stand-in runner and the entries that it announces itself to.
  *
- * @param id the endpoint id it announces
- * @param kind engine or plain service
- * @param region its region
- * @param failureDomain its failure domain
- * @param labels the labels it announces
- * @param models the models (or the service name) it serves
- * @param capacity requests it serves at once; more wait in a queue
- * @param gateways base URLs of the entry daemons it announces to
- * @param announceInterval how often it renews its lease
- * @param reportLag how old the load figure it reports is
- * @param checksFencing whether it refuses orders with an old fencing token
- * @param timing the engine timing model
- * @param prefixCacheEntries how many prompt prefixes its cache holds
+ * @param id the announced endpoint id
+ * @param kind whether the runner is an engine or a plain service
+ * @param region the region of the runner
+ * @param failureDomain the failure domain of the runner
+ * @param labels the announced labels
+ * @param models the models, or the service name, that the runner serves
+ * @param capacity the number of concurrent requests; further requests wait in a queue
+ * @param gateways the base URLs of the entry daemons that receive the announcements
+ * @param announceInterval the interval between lease renewals
+ * @param reportLag the age of the reported load and cache events
+ * @param checksFencing whether operator orders with an outdated fencing token are refused
+ * @param timing the timing model of the engine
+ * @param prefixCacheEntries the maximum number of cached prompt prefixes
  */
 public record RunnerSpec(
     String id,
@@ -37,7 +37,7 @@
     EngineTiming timing,
     int prefixCacheEntries) {
 
-  /** Copies the collections so the record is immutable. */
+  /** Copies the collections so that the record is immutable. */
   public RunnerSpec {
     labels = Map.copyOf(labels);
     models = List.copyOf(models);
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/StandinRunner.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/StandinRunner.java
@@ -20,14 +20,14 @@
 import org.lacewingcroft.endpoint.EndpointKind;
 
 /**
- * One stand-in runner: an engine speaking the OpenAI-compatible chat completion API (streamed and
- * not), or a plain service whose {@code POST /v1/orders} counts every run.
+ * A stand-in runner: an engine with the OpenAI-compatible chat completion API (streaming and
+ * non-streaming), or a plain service that counts every run of {@code POST /v1/orders}.
  *
- * <p>It announces itself, reports its load and its cache with a lag and, for orders ({@code POST
- * /v1/admin/load-model}), honours or ignores the {@code X-Fencing-Token} header. {@code POST
- * /v1/admin/conditions} has it state a rate or turn requests away, as an endpoint in need does.
- * Closing it announces {@code draining}, waits for the requests in flight and then stops: a
- * graceful shutdown.
+ * <p>The runner announces itself and reports its load and its cached prefixes with a lag. For
+ * operator orders ({@code POST /v1/admin/load-model}) it checks or ignores the {@code
+ * X-Fencing-Token} header. {@code POST /v1/admin/conditions} makes it advertise a rate limit or
+ * reject requests, as an overloaded endpoint does. {@link #close} shuts it down gracefully: it
+ * announces {@code draining}, waits for the requests in flight and then stops.
  */
 public final class StandinRunner implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -52,10 +52,10 @@
   private long announceTimer;
 
   /**
-   * Creates a runner; {@link #start} binds it.
+   * Creates a runner that is not started; {@link #start} binds its port.
    *
-   * @param vertx the Vert.x instance it runs on
-   * @param spec what it is
+   * @param vertx the Vert.x instance that runs the server and the timers
+   * @param spec the properties of the runner
    */
   public StandinRunner(Vertx vertx, RunnerSpec spec) {
     this.vertx = vertx;
@@ -64,7 +64,7 @@
     this.engine = new BatchingEngine(vertx, spec, inFlight);
   }
 
-  /** Binds a free port on the host, starts announcing and returns the port. */
+  /** Binds a free port on the host, starts the announcements and returns the port. */
   public Future<Integer> start(String host) {
     server = vertx.createHttpServer().requestHandler(this::handle);
     return server
@@ -79,12 +79,12 @@
             });
   }
 
-  /** Returns the base URL it serves on. */
+  /** Returns the base URL of the server. */
   public String baseUrl() {
     return "http://127.0.0.1:" + port;
   }
 
-  /** Returns how many non-idempotent orders it has run. */
+  /** Returns the number of {@code POST /v1/orders} requests that have run. */
   public long runs() {
     return runs.get();
   }
@@ -223,7 +223,10 @@
     }
   }
 
-  /** Announces draining, serves on for a while and until no request is in flight, then stops. */
+  /**
+   * Announces draining and shuts down. Requests are accepted for {@link #LINGER_MILLIS}, and longer
+   * while requests are in flight, at most {@link #DRAIN_WAIT_MILLIS}.
+   */
   @Override
   public void close() throws Exception {
     draining = true;
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/StatedConditions.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/StatedConditions.java
@@ -8,9 +8,9 @@
 import java.util.OptionalDouble;
 
 /**
- * On which conditions a stand-in runner takes requests, as its answers state them: the requests a
- * second that it takes from all senders together, a pause that it asks for while it turns
- * everything away, and that it leaves.
+ * The conditions that a stand-in runner advertises in its responses: a rate limit over all senders
+ * in requests per second, a requested pause during which it rejects every request, and whether it
+ * is draining.
  */
 final class StatedConditions {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -20,11 +20,11 @@
   private volatile OptionalDouble pauseSeconds = OptionalDouble.empty();
 
   /**
-   * Takes conditions from an order.
+   * Sets the conditions from the body of a request.
    *
    * @param body a JSON object with {@code requestsPerSecond} and {@code pauseSeconds}, each a
-   *     number that is not negative; what is missing is not stated any more
-   * @return false if it is none, which changes nothing
+   *     number that is not negative; conditions of missing fields are cleared
+   * @return whether the body was valid; an invalid body changes nothing
    */
   boolean set(Buffer body) {
     JsonNode order;
@@ -53,7 +53,7 @@
         : OptionalDouble.empty();
   }
 
-  /** Adds them to the head of an answer. */
+  /** Adds the headers that advertise the rate limit and the draining state to a response. */
   void state(HttpServerResponse response, boolean leaving) {
     requestsPerSecond.ifPresent(rate -> response.putHeader("Server-Limit", Double.toString(rate)));
     if (leaving) {
@@ -61,7 +61,7 @@
     }
   }
 
-  /** Turns a request away if the runner asks for a pause; returns whether it did. */
+  /** Rejects a request with status 503 if a pause is set, and returns whether it did. */
   boolean turnsAway(HttpServerResponse response) {
     OptionalDouble pause = pauseSeconds;
     if (pause.isEmpty()) {
--- a/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/DeploymentEndToEndTest.java
+++ b/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/DeploymentEndToEndTest.java
@@ -27,8 +27,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Starts the demo deployment once as real processes on free loopback ports and checks the request
- * path through it; the last test stops everything gracefully.
+ * Tests the request path through the demo deployment, which is started once as real processes on
+ * free loopback ports and must shut down cleanly after the tests.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class DeploymentEndToEndTest {
@@ -65,9 +65,9 @@
   }
 
   /**
-   * Sends every non-idempotent order twice at once, to both entries of the region, and once more
-   * afterwards; the request desk's run counter must show each key run at most once, and every
-   * answer for a key must be the same order.
+   * Sends every non-idempotent order concurrently to both entries of the region, and again
+   * afterwards. According to the run counters of the service each key must run at most once, and
+   * all responses for a key must contain the same order.
    */
   @Test
   void runsEachNonIdempotentOrderAtMostOnce() throws Exception {
--- a/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/FaultEndToEndTest.java
+++ b/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/FaultEndToEndTest.java
@@ -27,8 +27,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * What must always hold, on real processes that are cut off, killed, frozen and stopped. Each test
- * leaves the deployment as it found it.
+ * Tests the system invariants on real processes that are partitioned, killed, frozen and stopped.
+ * Each test restores the deployment to its initial state.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class FaultEndToEndTest {
@@ -87,7 +87,7 @@
     assertThat(deployment.client().configVersion(cutEntry), is(before));
     cut(AWAY, false);
     LocalDeployment.awaitCondition(
-        "the region applies the change once it is back",
+        "the region applies the change after it is reconnected",
         () -> deployment.client().configVersion(cutEntry) == changed);
   }
 
@@ -108,7 +108,7 @@
     assertThat(result.corrupted, is(0));
   }
 
-  /** What befalls an entry, the key owner of part of the orders, while orders are sent. */
+  /** A fault of an entry, which owns the keys of some orders, while orders are sent. */
   private enum EntryFault {
     KILLED,
     KILLED_TWICE,
@@ -138,7 +138,7 @@
     deployment.awaitEndpoints(entries.get(0));
   }
 
-  /** Orders may spill to other regions, so the runners of all are counted. */
+  /** Returns the runners of all regions, because orders may be relayed to other regions. */
   private List<String> desks() {
     return deployment.standins().entrySet().stream()
         .filter(group -> group.getKey().startsWith("desk-"))
@@ -174,8 +174,8 @@
   }
 
   /**
-   * Planned stops under load: every request is answered in full, refused as not run, or finds no
-   * process to connect to (its caller then asks another entry); none is cut once it was sent.
+   * Checks graceful stops under load. Every request is completed, refused as not run, or fails to
+   * connect (its caller then tries another entry). No connection is lost after a request was sent.
    */
   @ParameterizedTest
   @MethodSource("plannedStops")
@@ -216,7 +216,7 @@
     }
   }
 
-  /** The bound is stated in docs/INVARIANTS.md; the time is printed for the record. */
+  /** The bound is specified in docs/INVARIANTS.md. The measured time is printed. */
   @Test
   void leavingEndpointIsKnownToEveryEntryOfItsRegion() throws Exception {
     String writers = "writers-" + AWAY;
@@ -225,10 +225,10 @@
     final long startNanos = System.nanoTime();
     for (String entry : List.of(AWAY + "-entry-1", AWAY + "-entry-2")) {
       LocalDeployment.awaitCondition(
-          entry + " sends no new work to " + writers, () -> quietly(() -> acceptsNone(entry)));
+          entry + " sends no new requests to " + writers, () -> quietly(() -> acceptsNone(entry)));
     }
     long millis = (System.nanoTime() - startNanos) / 1_000_000;
-    System.out.println("leaving endpoints known everywhere after " + millis + " ms");
+    System.out.println("draining endpoints reported by all entries after " + millis + " ms");
     stopping.get();
     deployment.restart(writers);
     deployment.awaitEndpoints(AWAY + "-entry-1");
--- a/lacewingcroft-standins/src/test/java/org/lacewingcroft/standin/StandinConditionsTest.java
+++ b/lacewingcroft-standins/src/test/java/org/lacewingcroft/standin/StandinConditionsTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.lacewingcroft.endpoint.EndpointKind;
 
-/** What a stand-in runner that is told to be in need states in its answers. */
+/** Tests the rate limit and pause that a stand-in runner advertises in its responses. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class StandinConditionsTest {
   private static final HttpClient CLIENT = HttpClient.newHttpClient();
