--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/ApplyCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/ApplyCommand.java
@@ -39,7 +39,7 @@
       description = "change id for idempotent resends; default: a new UUID")
   String changeId;
 
-  private void check(String document) {
+  private void validate(String document) {
     if (patch) {
       ConfigPatch.parse(document);
     } else {
@@ -51,18 +51,18 @@
   public Integer call() throws Exception {
     String document = Files.readString(file);
     try {
-      check(document);
+      validate(document);
     } catch (GatewayException e) {
       System.err.println("lacewingcroft apply: " + e.getMessage());
       return 2;
     }
-    try (Http http = new Http()) {
+    try (BlockingHttpClient http = new BlockingHttpClient()) {
       long expected =
           expectedVersion != null
               ? expectedVersion
               : Long.parseLong(http.get(server + "/v1/config").headers().get("X-Config-Version"));
       String id = changeId != null ? changeId : UUID.randomUUID().toString();
-      Http.Reply reply =
+      BlockingHttpClient.Response reply =
           http.send(
               patch ? HttpMethod.PATCH : HttpMethod.PUT,
               server + "/v1/config",
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/Http.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/BlockingHttpClient.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A blocking HTTP client for the commands, based on the Vert.x web client. */
-final class Http implements AutoCloseable {
+final class BlockingHttpClient implements AutoCloseable {
   private static final long TIMEOUT_SECONDS = 15;
   private final Vertx vertx = Vertx.vertx();
   private final WebClient client = WebClient.create(vertx);
@@ -21,9 +21,9 @@
    * @param body the body as text
    * @param headers the response headers
    */
-  record Reply(int status, String body, io.vertx.core.MultiMap headers) {}
+  record Response(int status, String body, io.vertx.core.MultiMap headers) {}
 
-  Reply send(HttpMethod method, String url, Map<String, String> headers, String body)
+  Response send(HttpMethod method, String url, Map<String, String> headers, String body)
       throws Exception {
     var request =
         client.requestAbs(method, url).timeout(TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
@@ -32,10 +32,10 @@
     HttpResponse<Buffer> response =
         future.toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     String text = response.body() == null ? "" : response.bodyAsString();
-    return new Reply(response.statusCode(), text, response.headers());
+    return new Response(response.statusCode(), text, response.headers());
   }
 
-  Reply get(String url) throws Exception {
+  Response get(String url) throws Exception {
     return send(HttpMethod.GET, url, Map.of(), null);
   }
 
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/DemoCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/DemoCommand.java
@@ -31,7 +31,7 @@
     List<String> stopFailures;
     try (LocalDeployment deployment = LocalDeployment.start(DemoDeployment.topology(), dir)) {
       Map<String, String> entryByRegion = new java.util.HashMap<>();
-      try (Http http = new Http()) {
+      try (BlockingHttpClient http = new BlockingHttpClient()) {
         String anyDaemon = deployment.entries().values().iterator().next();
         for (String region : DemoDeployment.REGIONS) {
           entryByRegion.put(
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/EndpointsCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/EndpointsCommand.java
@@ -12,8 +12,8 @@
 
   @Override
   public Integer call() throws Exception {
-    try (Http http = new Http()) {
-      Http.Reply reply = http.get(server + "/v1/endpoints");
+    try (BlockingHttpClient http = new BlockingHttpClient()) {
+      BlockingHttpClient.Response reply = http.get(server + "/v1/endpoints");
       System.out.println(reply.body());
       return reply.status() == 200 ? 0 : 1;
     }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/EntriesCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/EntriesCommand.java
@@ -15,8 +15,8 @@
 
   @Override
   public Integer call() throws Exception {
-    try (Http http = new Http()) {
-      Http.Reply reply = http.get(server + "/v1/entries?region=" + region);
+    try (BlockingHttpClient http = new BlockingHttpClient()) {
+      BlockingHttpClient.Response reply = http.get(server + "/v1/entries?region=" + region);
       System.out.println(reply.body());
       return reply.status() == 200 ? 0 : 1;
     }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/GetCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/GetCommand.java
@@ -20,8 +20,8 @@
       System.err.println("lacewingcroft get: unknown kind '" + what + "'; use 'selectors'");
       return 2;
     }
-    try (Http http = new Http()) {
-      Http.Reply reply = http.get(server + "/v1/config");
+    try (BlockingHttpClient http = new BlockingHttpClient()) {
+      BlockingHttpClient.Response reply = http.get(server + "/v1/config");
       System.out.println("# version " + reply.headers().get("X-Config-Version"));
       System.out.print(reply.body());
       return reply.status() == 200 ? 0 : 1;
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/LoadBenchCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/LoadBenchCommand.java
@@ -48,34 +48,34 @@
                 DemoDeployment.topology(), Files.createTempDirectory("lacewingcroft-load"));
         TraceReplayer replayer = new TraceReplayer()) {
       Map<String, String> entries = deployment.entries();
-      for (int warm = 0; warm < warmUps; warm++) {
+      for (int round = 0; round < warmUps; round++) {
         replayer.replay(
             TraceRequest.scaled(base, copies, speedups.get(speedups.size() - 1)),
             r -> entries.get(r.region() + "-entry-1"));
       }
-      long idleCpu0 = deployment.cpuNanos(n -> n.contains("-entry-"));
-      long idleWall0 = System.nanoTime();
+      long idleStartCpuNanos = deployment.cpuNanos(n -> n.contains("-entry-"));
+      long idleStartNanos = System.nanoTime();
       java.util.concurrent.TimeUnit.SECONDS.sleep(idleSeconds);
       double idleCoresPerEntry =
-          (deployment.cpuNanos(n -> n.contains("-entry-")) - idleCpu0)
-              / (double) (System.nanoTime() - idleWall0)
+          (deployment.cpuNanos(n -> n.contains("-entry-")) - idleStartCpuNanos)
+              / (double) (System.nanoTime() - idleStartNanos)
               / entries.size();
       for (double speedup : speedups) {
         List<TraceRequest> trace = TraceRequest.scaled(base, copies, speedup);
-        long cpu0 = deployment.cpuNanos(n -> n.contains("-entry-"));
-        long wall0 = System.nanoTime();
+        long startCpuNanos = deployment.cpuNanos(n -> n.contains("-entry-"));
+        long startNanos = System.nanoTime();
         ReplayResult r = replayer.replay(trace, t -> entries.get(t.region() + "-entry-1"));
-        double wallSeconds = (System.nanoTime() - wall0) / 1e9;
-        long cpu = deployment.cpuNanos(n -> n.contains("-entry-")) - cpu0;
+        double wallSeconds = (System.nanoTime() - startNanos) / 1e9;
+        long cpuNanos = deployment.cpuNanos(n -> n.contains("-entry-")) - startCpuNanos;
         long tokens = trace.stream().mapToLong(TraceRequest::maxTokens).sum();
         ObjectNode line = JSON.createObjectNode();
         line.put("bench", "entry-load");
         line.put("requests", trace.size());
         line.put("served", r.outcome("served"));
         line.put("requestsPerSecond", trace.size() / wallSeconds);
-        double busyNanos = cpu - idleCoresPerEntry * entries.size() * wallSeconds * 1e9;
+        double busyNanos = cpuNanos - idleCoresPerEntry * entries.size() * wallSeconds * 1e9;
         line.put("idleCoreSharePerEntry", idleCoresPerEntry);
-        line.put("entryCpuMicrosPerRequest", cpu / 1000.0 / trace.size());
+        line.put("entryCpuMicrosPerRequest", cpuNanos / 1000.0 / trace.size());
         line.put("entryCpuMicrosPerRequestAboveIdle", busyNanos / 1000.0 / trace.size());
         line.put("entryCpuMicrosPerTokenAboveIdle", busyNanos / 1000.0 / tokens);
         line.put("firstTokenP95Millis", r.firstTokenMicros.getValueAtPercentile(95) / 1000.0);
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/OverheadBenchCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/OverheadBenchCommand.java
@@ -29,21 +29,21 @@
         TraceReplayer replayer = new TraceReplayer()) {
       Map<String, String> entries = deployment.entries();
       Map<String, List<String>> standins = deployment.standins();
-      ReplayResult warm = replayer.replay(trace, r -> entries.get(r.region() + "-entry-1"));
+      ReplayResult warmUp = replayer.replay(trace, r -> entries.get(r.region() + "-entry-1"));
       ReplayResult viaGateway = replayer.replay(trace, r -> entries.get(r.region() + "-entry-1"));
       ReplayResult direct =
           replayer.replay(trace, r -> standins.get("writers-" + r.region()).get(0));
-      System.out.print(warm.report("warm-up through the gateway"));
+      System.out.print(warmUp.report("warm-up through the gateway"));
       System.out.print(viaGateway.report("through the gateway"));
       System.out.print(direct.report("directly to one engine per region"));
-      double ratio =
+      double firstTokenRatio =
           viaGateway.firstTokenMicros.getValueAtPercentile(50)
               / (double) Math.max(1, direct.firstTokenMicros.getValueAtPercentile(50));
-      System.out.printf("first token p50 ratio gateway/direct: %.2f%n", ratio);
-      double between =
+      System.out.printf("first token p50 ratio gateway/direct: %.2f%n", firstTokenRatio);
+      double betweenTokensRatio =
           viaGateway.betweenTokensMicros.getValueAtPercentile(95)
               / (double) Math.max(1, direct.betweenTokensMicros.getValueAtPercentile(95));
-      System.out.printf("between tokens p95 ratio gateway/direct: %.2f%n", between);
+      System.out.printf("between tokens p95 ratio gateway/direct: %.2f%n", betweenTokensRatio);
       return 0;
     }
   }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/QuarantineCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/QuarantineCommand.java
@@ -21,8 +21,8 @@
   @Override
   public Integer call() throws Exception {
     String path = server + "/v1/quarantine";
-    try (Http http = new Http()) {
-      Http.Reply reply =
+    try (BlockingHttpClient http = new BlockingHttpClient()) {
+      BlockingHttpClient.Response reply =
           lift.isPresent()
               ? http.send(HttpMethod.DELETE, path + "/" + lift.get(), Map.of(), null)
               : http.get(path);
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/ReportCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/ReportCommand.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import org.lacewingcroft.logs.BreakReport;
+import org.lacewingcroft.logs.CrashSuspectReport;
 import org.lacewingcroft.logs.LogFiles;
 import org.lacewingcroft.logs.LogLine;
 import org.lacewingcroft.logs.ReportPlot;
@@ -44,7 +44,7 @@
     List<LogLine> lines = LogFiles.merge(files);
     ServiceReport report = new ServiceReport(RequestOutcomes.of(lines), weightByRoute);
     spec.commandLine().getOut().print(report.text());
-    spec.commandLine().getOut().print(new BreakReport(lines).text());
+    spec.commandLine().getOut().print(new CrashSuspectReport(lines).text());
     spec.commandLine().getOut().print(new TrafficReport(lines).text());
     spec.commandLine().getOut().flush();
     if (plot != null) {
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/TimelineCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/TimelineCommand.java
@@ -20,20 +20,20 @@
  */
 @Command(name = "timeline", description = "Merge JSON Lines logs into one ordered timeline.")
 final class TimelineCommand implements Callable<Integer> {
-  private static final int NOTHING_FOUND = 1;
+  private static final int NOTHING_FOUND_STATUS = 1;
 
   @Spec CommandSpec spec;
 
   @Parameters(arity = "1..*", description = "log files, or directories of them")
   List<Path> files;
 
-  @ArgGroup Story story;
+  @ArgGroup Subject subject;
 
   @Option(names = "--grep", description = "only lines containing this text")
   String grep;
 
   /** The subject whose lines are printed, at most one. */
-  static final class Story {
+  static final class Subject {
     @Option(names = "--request", description = "only lines that concern the request with this id")
     String request;
 
@@ -46,25 +46,25 @@
 
   @Override
   public Integer call() throws IOException {
-    List<LogLine> lines = told(LogFiles.merge(files));
+    List<LogLine> lines = select(LogFiles.merge(files));
     for (LogLine line : lines) {
       String text = line.toString();
       if (grep == null || text.contains(grep)) {
         spec.commandLine().getOut().println(text);
       }
     }
-    return story != null && lines.isEmpty() ? NOTHING_FOUND : 0;
+    return subject != null && lines.isEmpty() ? NOTHING_FOUND_STATUS : 0;
   }
 
-  private List<LogLine> told(List<LogLine> lines) {
+  private List<LogLine> select(List<LogLine> lines) {
     TimelineFilter filter = new TimelineFilter(lines);
-    if (story == null) {
+    if (subject == null) {
       return lines;
-    } else if (story.request != null) {
-      return filter.ofRequest(story.request);
-    } else if (story.endpoint != null) {
-      return filter.ofEndpoint(story.endpoint);
+    } else if (subject.request != null) {
+      return filter.ofRequest(subject.request);
+    } else if (subject.endpoint != null) {
+      return filter.ofEndpoint(subject.endpoint);
     }
-    return filter.ofVersion(story.version);
+    return filter.ofVersion(subject.version);
   }
 }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/BreakReport.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/CrashSuspectReport.java
@@ -14,11 +14,11 @@
  * content that recurs across several lost endpoints, from the same senders, crashes the endpoints
  * that run it. If no content recurs, the endpoints crashed for another reason.
  */
-public final class BreakReport {
-  private static final int MOST_ROWS = 20;
+public final class CrashSuspectReport {
+  private static final int MAX_ROWS = 20;
   private static final String PLACED = "request.placed";
-  private static final String TRY_FAILED = "request.try_failed";
-  private static final String BROKEN = "broken";
+  private static final String ATTEMPT_FAILED = "request.try_failed";
+  private static final String CONNECTION_LOST = "broken";
 
   private final Map<String, Suspect> byFingerprint = new HashMap<>();
   private final Set<String> entries = new HashSet<>();
@@ -40,7 +40,7 @@
    *
    * @param lines the log lines of all entries, in causal order
    */
-  public BreakReport(List<LogLine> lines) {
+  public CrashSuspectReport(List<LogLine> lines) {
     lines.forEach(this::readPlacement);
     lines.forEach(this::readFailure);
     byFingerprint.values().removeIf(s -> s.endpoints().isEmpty());
@@ -61,9 +61,11 @@
   }
 
   private void readFailure(LogLine line) {
-    boolean broke = line.event().equals(TRY_FAILED) && line.text("what").equals(BROKEN);
-    boolean known = !line.text("fingerprint").isEmpty() && !entries.contains(line.text("target"));
-    if (broke && known) {
+    boolean connectionLost =
+        line.event().equals(ATTEMPT_FAILED) && line.text("what").equals(CONNECTION_LOST);
+    boolean isEndpointWithFingerprint =
+        !line.text("fingerprint").isEmpty() && !entries.contains(line.text("target"));
+    if (connectionLost && isEndpointWithFingerprint) {
       suspect(line).endpoints().add(line.text("target"));
     }
   }
@@ -91,7 +93,7 @@
     StringBuilder text = new StringBuilder("endpoints with lost connections, by request content\n");
     text.append(
         String.format("%-18s %9s %8s  %-16s %s%n", "", "endpoints", "senders", "route", "which"));
-    for (Suspect suspect : suspects().subList(0, Math.min(MOST_ROWS, byFingerprint.size()))) {
+    for (Suspect suspect : suspects().subList(0, Math.min(MAX_ROWS, byFingerprint.size()))) {
       text.append(
           String.format(
               Locale.ROOT,
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/LogFiles.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/LogFiles.java
@@ -20,7 +20,7 @@
  */
 public final class LogFiles {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final Pattern STAMP = Pattern.compile("\\d+\\.\\d+");
+  private static final Pattern TIMESTAMP = Pattern.compile("\\d+\\.\\d+");
 
   private LogFiles() {}
 
@@ -34,8 +34,8 @@
     List<LogLine> lines = new ArrayList<>();
     for (Path path : paths) {
       if (Files.isDirectory(path)) {
-        try (Stream<Path> inside = Files.list(path)) {
-          for (Path file : inside.filter(Files::isRegularFile).sorted().toList()) {
+        try (Stream<Path> files = Files.list(path)) {
+          for (Path file : files.filter(Files::isRegularFile).sorted().toList()) {
             read(file, lines);
           }
         }
@@ -61,12 +61,12 @@
     }
     try {
       JsonNode fields = JSON.readTree(text.substring(start));
-      String stamp = fields.path("hlc").asText("");
-      if (!STAMP.matcher(stamp).matches()) {
+      String timestamp = fields.path("hlc").asText("");
+      if (!TIMESTAMP.matcher(timestamp).matches()) {
         return Optional.empty();
       }
       String node = fields.path("node").asText("");
-      return Optional.of(new LogLine(stamp, node, fields.path("event").asText(""), fields));
+      return Optional.of(new LogLine(timestamp, node, fields.path("event").asText(""), fields));
     } catch (JsonProcessingException e) {
       return Optional.empty();
     }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/OutcomeCounts.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/OutcomeCounts.java
@@ -7,11 +7,11 @@
 
 /** Counts the requests of one group (a route, an entry or a second) by result. */
 public final class OutcomeCounts {
-  private static final int DIGITS = 3;
+  private static final int SIGNIFICANT_DIGITS = 3;
 
   private final Map<Result, Long> counts = new EnumMap<>(Result.class);
-  private final Histogram firstByteMillis = new Histogram(DIGITS);
-  private final Histogram millis = new Histogram(DIGITS);
+  private final Histogram firstByteMillis = new Histogram(SIGNIFICANT_DIGITS);
+  private final Histogram durationMillis = new Histogram(SIGNIFICANT_DIGITS);
   private double lostWeight;
 
   /**
@@ -23,7 +23,7 @@
     counts.merge(outcome.result(), 1L, Long::sum);
     if (outcome.result() == Result.SERVED) {
       firstByteMillis.recordValue(Math.max(0, outcome.firstByteMillis()));
-      millis.recordValue(Math.max(0, outcome.millis()));
+      durationMillis.recordValue(Math.max(0, outcome.durationMillis()));
     } else {
       lostWeight += weight;
     }
@@ -60,7 +60,7 @@
    *
    * @param percentile from 0 to 100
    */
-  public long millis(double percentile) {
-    return millis.getValueAtPercentile(percentile);
+  public long durationMillis(double percentile) {
+    return durationMillis.getValueAtPercentile(percentile);
   }
 }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/ReportPlot.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/ReportPlot.java
@@ -40,11 +40,11 @@
    * @throws IOException if the file cannot be written
    */
   public static void write(ServiceReport report, Path file) throws IOException {
-    Map<Long, OutcomeCounts> bySecond = report.bySecond();
-    CombinedDomainXYPlot both = new CombinedDomainXYPlot(new NumberAxis("second"));
-    both.add(countsPlot(bySecond), 2);
-    both.add(latencyPlot(bySecond), 1);
-    JFreeChart chart = new JFreeChart("Requests by second of arrival", both);
+    Map<Long, OutcomeCounts> bySecond = report.countsBySecond();
+    CombinedDomainXYPlot plots = new CombinedDomainXYPlot(new NumberAxis("second"));
+    plots.add(countsPlot(bySecond), 2);
+    plots.add(latencyPlot(bySecond), 1);
+    JFreeChart chart = new JFreeChart("Requests by second of arrival", plots);
     ChartUtils.saveChartAsPNG(file.toFile(), chart, WIDTH_PIXELS, HEIGHT_PIXELS);
   }
 
@@ -63,14 +63,14 @@
   }
 
   private static XYPlot latencyPlot(Map<Long, OutcomeCounts> bySecond) {
-    XYSeriesCollection waits = new XYSeriesCollection();
+    XYSeriesCollection latencies = new XYSeriesCollection();
     for (double percentile : PERCENTILES) {
       XYSeries series = new XYSeries("first byte, percentile " + (int) percentile);
       bySecond.forEach(
           (second, c) -> series.add(second.doubleValue(), c.firstByteMillis(percentile)));
-      waits.addSeries(series);
+      latencies.addSeries(series);
     }
     XYLineAndShapeRenderer lines = new XYLineAndShapeRenderer(true, false);
-    return new XYPlot(waits, null, new NumberAxis("ms"), lines);
+    return new XYPlot(latencies, null, new NumberAxis("ms"), lines);
   }
 }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/RequestOutcome.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/RequestOutcome.java
@@ -12,7 +12,7 @@
  * @param arrivedMillis the time of arrival, in milliseconds since the epoch
  * @param firstByteMillis the time from arrival to the response head in milliseconds, -1 if no
  *     response head was received
- * @param millis the time from arrival to the end of the request, in milliseconds
+ * @param durationMillis the time from arrival to the end of the request, in milliseconds
  */
 public record RequestOutcome(
     String id,
@@ -23,7 +23,7 @@
     String target,
     long arrivedMillis,
     long firstByteMillis,
-    long millis) {
+    long durationMillis) {
 
   /** The kind of outcome of a request. */
   public enum Result {
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/ServiceReport.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/ServiceReport.java
@@ -15,7 +15,7 @@
  */
 public final class ServiceReport {
   private static final long MILLIS_PER_SECOND = 1_000;
-  private static final String HEAD =
+  private static final String HEADER =
       "%-58s %8s %8s %8s %8s %8s %9s %9s %9s %9s%n"
           .formatted(
               "",
@@ -50,16 +50,16 @@
    * Returns the counts by second of arrival, relative to the first request. Seconds in which no
    * request arrived are omitted.
    */
-  public Map<Long, OutcomeCounts> bySecond() {
-    return by(o -> (o.arrivedMillis() - startMillis) / MILLIS_PER_SECOND);
+  public Map<Long, OutcomeCounts> countsBySecond() {
+    return countsBy(o -> (o.arrivedMillis() - startMillis) / MILLIS_PER_SECOND);
   }
 
   /** Returns the counts by the key that the function returns for a request. */
-  public <K extends Comparable<K>> Map<K, OutcomeCounts> by(Function<RequestOutcome, K> group) {
+  public <K extends Comparable<K>> Map<K, OutcomeCounts> countsBy(Function<RequestOutcome, K> key) {
     Map<K, OutcomeCounts> counts = new TreeMap<>();
     for (RequestOutcome outcome : outcomes) {
       counts
-          .computeIfAbsent(group.apply(outcome), k -> new OutcomeCounts())
+          .computeIfAbsent(key.apply(outcome), k -> new OutcomeCounts())
           .add(outcome, weightByRoute.getOrDefault(outcome.route(), 1.0));
     }
     return counts;
@@ -70,29 +70,32 @@
    * descending weight of the requests that were not served.
    */
   public String text() {
-    List<RequestOutcome> lost = outcomes.stream().filter(o -> o.result() != Result.SERVED).toList();
-    ServiceReport ofLost = new ServiceReport(lost, weightByRoute);
+    List<RequestOutcome> notServed =
+        outcomes.stream().filter(o -> o.result() != Result.SERVED).toList();
+    ServiceReport reportOfNotServed = new ServiceReport(notServed, weightByRoute);
     List<Row> seconds = new ArrayList<>();
-    bySecond().forEach((second, counts) -> seconds.add(new Row(second.toString(), counts)));
-    return table("route", worstFirst(RequestOutcome::route))
-        + table("entry", worstFirst(RequestOutcome::node))
-        + table("route and cause", ofLost.worstFirst(o -> o.route() + ": " + o.cause()))
-        + table("last target", worstFirst(o -> o.target().isEmpty() ? "none" : o.target()))
+    countsBySecond().forEach((second, counts) -> seconds.add(new Row(second.toString(), counts)));
+    return table("route", rowsByLostWeight(RequestOutcome::route))
+        + table("entry", rowsByLostWeight(RequestOutcome::node))
+        + table(
+            "route and cause",
+            reportOfNotServed.rowsByLostWeight(o -> o.route() + ": " + o.cause()))
+        + table("last target", rowsByLostWeight(o -> o.target().isEmpty() ? "none" : o.target()))
         + table("second of arrival", seconds);
   }
 
   /** A row of a table. */
   private record Row(String name, OutcomeCounts counts) {}
 
-  private List<Row> worstFirst(Function<RequestOutcome, String> group) {
-    return by(group).entrySet().stream()
+  private List<Row> rowsByLostWeight(Function<RequestOutcome, String> key) {
+    return countsBy(key).entrySet().stream()
         .map(e -> new Row(e.getKey(), e.getValue()))
         .sorted(Comparator.comparingDouble(row -> -row.counts().lostWeight()))
         .toList();
   }
 
   private static String table(String name, List<Row> rows) {
-    StringBuilder text = new StringBuilder("by " + name + "\n").append(HEAD);
+    StringBuilder text = new StringBuilder("by " + name + "\n").append(HEADER);
     for (Row row : rows) {
       OutcomeCounts c = row.counts();
       text.append(
@@ -108,7 +111,7 @@
               c.lostWeight(),
               c.firstByteMillis(50),
               c.firstByteMillis(99),
-              c.millis(99)));
+              c.durationMillis(99)));
     }
     return text.append('\n').toString();
   }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/TimelineFilter.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/TimelineFilter.java
@@ -10,7 +10,7 @@
  */
 public final class TimelineFilter {
   /** The time before the first line of a request from which updates are included. */
-  private static final long NEWS_MILLIS = 5_000;
+  private static final long UPDATE_LOOKBACK_MILLIS = 5_000;
 
   private final List<LogLine> lines;
 
@@ -25,19 +25,19 @@
 
   /**
    * Returns the lines of a request at every instance, and the endpoint and routing updates that
-   * those instances applied and that concern its targets, from {@value #NEWS_MILLIS} ms before its
-   * first line to its last.
+   * those instances applied and that concern its targets, from {@value #UPDATE_LOOKBACK_MILLIS} ms
+   * before its first line to its last.
    */
   public List<LogLine> ofRequest(String id) {
-    List<LogLine> own = lines.stream().filter(l -> l.text("request").equals(id)).toList();
-    if (own.isEmpty()) {
-      return own;
+    List<LogLine> requestLines = lines.stream().filter(l -> l.text("request").equals(id)).toList();
+    if (requestLines.isEmpty()) {
+      return requestLines;
     }
-    long from = own.get(0).millis() - NEWS_MILLIS;
-    long until = own.get(own.size() - 1).millis();
+    long from = requestLines.get(0).millis() - UPDATE_LOOKBACK_MILLIS;
+    long until = requestLines.get(requestLines.size() - 1).millis();
     Set<String> nodes = new HashSet<>();
     Set<String> targets = new HashSet<>();
-    for (LogLine line : own) {
+    for (LogLine line : requestLines) {
       nodes.add(line.node());
       targets.add(line.text("target"));
       targets.add(line.text("fetchFrom"));
@@ -49,11 +49,11 @@
                     || nodes.contains(l.node())
                         && l.millis() >= from
                         && l.millis() <= until
-                        && isNewsOf(l, targets))
+                        && isUpdateOf(l, targets))
         .toList();
   }
 
-  private static boolean isNewsOf(LogLine line, Set<String> targets) {
+  private static boolean isUpdateOf(LogLine line, Set<String> targets) {
     return switch (line.event()) {
       case "endpoint.changed" -> targets.contains(line.text("endpoint"));
       case "routing.in_force" -> true;
@@ -63,10 +63,10 @@
 
   /** Returns the lines of all instances about all incarnations of an endpoint. */
   public List<LogLine> ofEndpoint(String id) {
-    return lines.stream().filter(l -> l.text("endpoint").equals(id) && !isRequest(l)).toList();
+    return lines.stream().filter(l -> l.text("endpoint").equals(id) && !isRequestLine(l)).toList();
   }
 
-  private static boolean isRequest(LogLine line) {
+  private static boolean isRequestLine(LogLine line) {
     return line.event().startsWith("request.");
   }
 
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/TrafficReport.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/TrafficReport.java
@@ -16,9 +16,9 @@
   private static final int MICROS_PER_MILLI = 1_000;
 
   private final Map<String, Totals> byKind = new TreeMap<>();
-  private final Map<Instance, Totals> lastOf = new HashMap<>();
+  private final Map<CounterKey, Totals> latestTotals = new HashMap<>();
 
-  private record Instance(String node, String kind) {}
+  private record CounterKey(String node, String kind) {}
 
   /**
    * Message counters of one kind of message.
@@ -31,7 +31,7 @@
    */
   public record Totals(
       long sent, long sentBytes, long received, long receivedBytes, long workMicros) {
-    private static final Totals NONE = new Totals(0, 0, 0, 0, 0);
+    private static final Totals ZERO = new Totals(0, 0, 0, 0, 0);
 
     private static Totals of(LogLine line) {
       return new Totals(
@@ -61,7 +61,7 @@
     }
 
     /** Returns whether a counter is below its earlier value, because the instance restarted. */
-    private boolean startsAnew(Totals earlier) {
+    private boolean isAfterRestart(Totals earlier) {
       return sent < earlier.sent || received < earlier.received;
     }
   }
@@ -72,16 +72,16 @@
    * @param lines the log lines of all instances, in causal order
    */
   public TrafficReport(List<LogLine> lines) {
-    lines.stream().filter(line -> line.event().equals(TRAFFIC)).forEach(this::read);
+    lines.stream().filter(line -> line.event().equals(TRAFFIC)).forEach(this::addLine);
   }
 
-  private void read(LogLine line) {
-    Instance instance = new Instance(line.node(), line.text("kind"));
-    Totals account = Totals.of(line);
-    Totals earlier = lastOf.getOrDefault(instance, Totals.NONE);
-    Totals added = account.startsAnew(earlier) ? account : account.minus(earlier);
-    byKind.merge(instance.kind(), added, Totals::plus);
-    lastOf.put(instance, account);
+  private void addLine(LogLine line) {
+    CounterKey counterKey = new CounterKey(line.node(), line.text("kind"));
+    Totals totals = Totals.of(line);
+    Totals earlier = latestTotals.getOrDefault(counterKey, Totals.ZERO);
+    Totals added = totals.isAfterRestart(earlier) ? totals : totals.minus(earlier);
+    byKind.merge(counterKey.kind(), added, Totals::plus);
+    latestTotals.put(counterKey, totals);
   }
 
   /** Returns the totals of all instances by kind of message. */
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/cli/HelpTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/cli/HelpTest.java
@@ -30,13 +30,13 @@
 
   @ParameterizedTest
   @MethodSource("commands")
-  void explainsItself(String path) {
+  void supportsHelp(String path) {
     assertThat(run(path, "--help"), containsString("Usage: lacewingcroft"));
   }
 
   @ParameterizedTest
   @MethodSource("commands")
-  void tellsItsVersion(String path) {
+  void supportsVersion(String path) {
     assertThat(run(path, "--version"), containsString("lacewingcroft 0."));
   }
 
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/cli/LogCommandsTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/cli/LogCommandsTest.java
@@ -23,14 +23,14 @@
 
 /** Tests the commands that read logs through the command line. */
 class LogCommandsTest {
-  private static final int USAGE = 2;
+  private static final int USAGE_ERROR_STATUS = 2;
 
-  @TempDir private Path folder;
+  @TempDir private Path directory;
   private Path log;
 
   @BeforeEach
   void writeLog() throws IOException {
-    log = folder.resolve("entry.log");
+    log = directory.resolve("entry.log");
     Files.writeString(
         log,
         String.join(
@@ -48,22 +48,22 @@
         Arguments.of("--endpoint i-1", 0, 1),
         Arguments.of("--config-version 3", 0, 1),
         Arguments.of("--grep r-1", 0, 2),
-        Arguments.of("--request r-1 --endpoint i-1", USAGE, 0),
+        Arguments.of("--request r-1 --endpoint i-1", USAGE_ERROR_STATUS, 0),
         Arguments.of("", 0, 4));
   }
 
   @ParameterizedTest
   @MethodSource("stories")
-  void timelineTellsOneStory(String options, int status, int lines) {
+  void timelinePrintsSelectedLines(String options, int status, int lines) {
     StringWriter out = new StringWriter();
     assertThat(run(out, ("timeline " + options).trim() + " " + log), is(status));
     assertThat((int) out.toString().lines().count(), is(lines));
   }
 
   @Test
-  void reportPrintsTablesAndDraws() throws IOException {
+  void reportPrintsTablesAndWritesPlot() throws IOException {
     StringWriter out = new StringWriter();
-    Path plot = folder.resolve("plot.png");
+    Path plot = directory.resolve("plot.png");
     assertThat(run(out, "report --weight chat=2 --plot " + plot + " " + log), is(0));
     assertThat(out.toString(), containsString("by second of arrival"));
     assertThat(ImageIO.read(plot.toFile()).getWidth(), greaterThan(800));
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/BreakReportTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/CrashSuspectReportTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests which request contents are reported as suspected of crashing endpoints. */
-class BreakReportTest {
+class CrashSuspectReportTest {
   private static String placed(String request, String fingerprint, String sender, String target) {
     return SampleLog.line(
         1,
@@ -31,14 +31,14 @@
         2, "n", "request.try_failed", "fingerprint", fingerprint, "what", what, "target", target);
   }
 
-  private static BreakReport report(String... lines) {
-    return new BreakReport(
+  private static CrashSuspectReport report(String... lines) {
+    return new CrashSuspectReport(
         Stream.of(lines).map(line -> LogFiles.parse(line).orElseThrow()).toList());
   }
 
   @Test
-  void namesTheContentThatRecursFirst() {
-    BreakReport report =
+  void listsRecurringContentFirst() {
+    CrashSuspectReport report =
         report(
             placed("r-1", "f-once", "10.0.0.1", "i-1"),
             placed("r-2", "f-again", "10.0.0.2", "i-1"),
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void leavesOutEntriesAndOtherFailures() {
+  void ignoresEntriesAndOtherFailures() {
     String relay =
         SampleLog.line(
             1,
@@ -69,7 +69,7 @@
             "entry",
             "region",
             "south");
-    BreakReport report =
+    CrashSuspectReport report =
         report(relay, failed("f", "broken", "entry"), failed("f", "unreachable", "i-1"));
     assertThat(report.suspects(), is(List.of()));
     assertThat(report.text(), is(""));
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/LogFilesTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/LogFilesTest.java
@@ -15,24 +15,24 @@
 
 /** Tests that the logs of several processes merge into one timeline and other text is skipped. */
 class LogFilesTest {
-  @TempDir private Path folder;
+  @TempDir private Path directory;
 
   @Test
-  void linesOfAllFilesAreInCausalOrder() throws IOException {
+  void mergesFilesInCausalOrder() throws IOException {
     Files.writeString(
-        folder.resolve("a.log"),
+        directory.resolve("a.log"),
         SampleLog.line(30, "a", "third") + "\n" + SampleLog.line(10, "a", "first") + "\n");
     Files.writeString(
-        folder.resolve("b.log"),
+        directory.resolve("b.log"),
         "  12.5 host-b " + SampleLog.line(20, "b", "second") + "\nOpenJDK warning\n{\"hlc\":\"1");
-    assertThat(events(LogFiles.merge(List.of(folder))), contains("first", "second", "third"));
-    assertThat(events(LogFiles.merge(List.of(folder.resolve("b.log")))), contains("second"));
+    assertThat(events(LogFiles.merge(List.of(directory))), contains("first", "second", "third"));
+    assertThat(events(LogFiles.merge(List.of(directory.resolve("b.log")))), contains("second"));
   }
 
   @ParameterizedTest
   @ValueSource(
       strings = {"", "{", "{}", "{\"hlc\":\"\"}", "{\"hlc\":7}", "{\"hlc\":\"7\"}", "[1]", "text"})
-  void otherTextIsPassedOver(String text) {
+  void skipsOtherText(String text) {
     assertThat(LogFiles.parse(text).isPresent(), is(false));
   }
 
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/ServiceReportTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/ServiceReportTest.java
@@ -30,7 +30,8 @@
 
   @ParameterizedTest
   @MethodSource("ends")
-  void endIsToldApart(String outcome, int status, boolean mayHaveRun, Result result, String cause) {
+  void classifiesResultAndCause(
+      String outcome, int status, boolean mayHaveRun, Result result, String cause) {
     List<RequestOutcome> outcomes =
         outcomes(SampleLog.finished(100, "north-1", "r-1", outcome, status, mayHaveRun));
     assertThat(outcomes, hasSize(1));
@@ -39,7 +40,7 @@
   }
 
   @Test
-  void relayedRequestCountsOnceWhereItsCallerAsked() {
+  void countsRelayedRequestOnceAtItsFirstEntry() {
     List<RequestOutcome> outcomes =
         outcomes(
             SampleLog.relayed(10, "north-1", "r-1", "south-1"),
@@ -53,7 +54,7 @@
   }
 
   @Test
-  void causeNamesTheLastTryThatFailed() {
+  void causeNamesTheLastFailedAttempt() {
     List<RequestOutcome> outcomes =
         outcomes(
             SampleLog.placed(10, "north-1", "r-1", "i-1"),
@@ -67,7 +68,7 @@
   }
 
   @Test
-  void lossIsWeighedAndTheWorstStandsFirst() {
+  void weighsRequestsNotServedAndSortsByWeight() {
     ServiceReport report =
         new ServiceReport(
             outcomes(
@@ -75,7 +76,7 @@
                 SampleLog.finished(1_200, "south-1", "r-2", "no answer in time", 504, true),
                 SampleLog.finished(1_300, "south-1", "r-3", "served", 200, true)),
             Map.of("chat", 2.5));
-    OutcomeCounts second = report.bySecond().get(1L);
+    OutcomeCounts second = report.countsBySecond().get(1L);
     assertThat(second.count(Result.FAILED), is(1L));
     assertThat(second.count(Result.SERVED), is(1L));
     assertThat(second.lostWeight(), is(2.5));
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/TimelineFilterTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/TimelineFilterTest.java
@@ -30,7 +30,7 @@
 
   static Stream<Arguments> stories() {
     return Stream.of(
-        story(
+        selection(
             "a request, with the updates that its entry received",
             f -> f.ofRequest("r-1"),
             1,
@@ -38,22 +38,22 @@
             5,
             7,
             8),
-        story("another request", f -> f.ofRequest("r-2"), 1, 3, 6),
-        story("no such request", f -> f.ofRequest("r-9")),
-        story("an endpoint", f -> f.ofEndpoint("i-1"), 0, 2, 3, 9),
-        story("a configuration version", f -> f.ofVersion("7"), 1, 10));
+        selection("another request", f -> f.ofRequest("r-2"), 1, 3, 6),
+        selection("no such request", f -> f.ofRequest("r-9")),
+        selection("an endpoint", f -> f.ofEndpoint("i-1"), 0, 2, 3, 9),
+        selection("a configuration version", f -> f.ofVersion("7"), 1, 10));
   }
 
-  private static Arguments story(
-      String name, Function<TimelineFilter, List<LogLine>> told, Integer... expected) {
-    return Arguments.of(name, told, List.of(expected));
+  private static Arguments selection(
+      String name, Function<TimelineFilter, List<LogLine>> selector, Integer... expected) {
+    return Arguments.of(name, selector, List.of(expected));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("stories")
-  void storyIsTold(
-      String name, Function<TimelineFilter, List<LogLine>> told, List<Integer> expected) {
-    List<LogLine> lines = told.apply(new TimelineFilter(LINES));
+  void selectsLinesOfSubject(
+      String name, Function<TimelineFilter, List<LogLine>> selector, List<Integer> expected) {
+    List<LogLine> lines = selector.apply(new TimelineFilter(LINES));
     assertThat(lines.stream().map(LINES::indexOf).toList(), is(expected));
   }
 }
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/TrafficReportTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/TrafficReportTest.java
@@ -15,23 +15,23 @@
 /** Tests that cumulative message counters are summed across instances and restarts. */
 class TrafficReportTest {
   /** An instance's logged counters of the digests that it received, 100 bytes and 2 ms each. */
-  private record Account(String node, long received) {}
+  private record LoggedCounters(String node, long received) {}
 
   static Stream<Arguments> logs() {
     return Stream.of(
         Arguments.of("none", List.of(), Map.of()),
-        Arguments.of("the last totals of one start", accounts("a 3 a 5"), digests(5)),
-        Arguments.of("several instances", accounts("a 3 b 4 a 5"), digests(9)),
-        Arguments.of("a restart", accounts("a 5 a 2 a 4"), digests(9)));
+        Arguments.of("the last totals of one start", loggedCounters("a 3 a 5"), digests(5)),
+        Arguments.of("several instances", loggedCounters("a 3 b 4 a 5"), digests(9)),
+        Arguments.of("a restart", loggedCounters("a 5 a 2 a 4"), digests(9)));
   }
 
-  private static List<Account> accounts(String text) {
+  private static List<LoggedCounters> loggedCounters(String text) {
     String[] words = text.split(" ");
-    List<Account> accounts = new ArrayList<>();
+    List<LoggedCounters> counters = new ArrayList<>();
     for (int i = 0; i < words.length; i += 2) {
-      accounts.add(new Account(words[i], Long.parseLong(words[i + 1])));
+      counters.add(new LoggedCounters(words[i], Long.parseLong(words[i + 1])));
     }
-    return accounts;
+    return counters;
   }
 
   private static Map<String, TrafficReport.Totals> digests(long received) {
@@ -41,14 +41,14 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("logs")
-  void sumsTheLastAccountOfEachStart(
-      String name, List<Account> accounts, Map<String, TrafficReport.Totals> expected) {
+  void sumsTheLastTotalsOfEachStart(
+      String name, List<LoggedCounters> counters, Map<String, TrafficReport.Totals> expected) {
     List<LogLine> lines = new ArrayList<>();
-    for (Account account : accounts) {
+    for (LoggedCounters logged : counters) {
       String text =
           SampleLog.line(
               lines.size(),
-              account.node(),
+              logged.node(),
               "peer.traffic",
               "kind",
               "NewsDigest",
@@ -57,11 +57,11 @@
               "sentBytes",
               0,
               "received",
-              account.received(),
+              logged.received(),
               "receivedBytes",
-              100 * account.received(),
+              100 * logged.received(),
               "workMicros",
-              2_000 * account.received());
+              2_000 * logged.received());
       lines.add(LogFiles.parse(text).orElseThrow());
     }
     TrafficReport report = new TrafficReport(lines);
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ConfigBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ConfigBench.java
@@ -25,11 +25,11 @@
  */
 public final class ConfigBench {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final int RACE_EVERY = 5;
-  private static final int RESEND_EVERY = 7;
+  private static final int CHANGES_PER_RACE = 5;
+  private static final int CHANGES_PER_RESEND = 7;
   private static final int MAX_SENDS = 60;
   private static final long RETRY_MILLIS = 200;
-  private static final Duration RECOVERY = Duration.ofSeconds(5);
+  private static final Duration RECOVERY_TIME = Duration.ofSeconds(5);
 
   private final Options options;
   private final Consumer<String> out;
@@ -102,21 +102,22 @@
       for (String node : nodes) {
         started.injectFaults(node, Set.of(), options.delayMillis());
       }
-      try (VersionWatch watch = new VersionWatch(started, nodes)) {
-        return runWatched(watch, nodes);
+      try (VersionWatcher watcher = new VersionWatcher(started, nodes)) {
+        return runWatched(watcher, nodes);
       }
     }
   }
 
-  private boolean runWatched(VersionWatch watch, List<String> nodes) throws Exception {
-    Thread faults = new Thread(this::disturb, "faults");
+  private boolean runWatched(VersionWatcher watcher, List<String> nodes) throws Exception {
+    Thread faults = new Thread(this::injectFaults, "faults");
     if (options.faults()) {
       faults.start();
     }
     long version = deployment.client().configVersion(anyControl());
     for (int i = 0; i < options.changes(); i++) {
-      version = i % RACE_EVERY == 0 ? race(i, version) : applied("change-" + i, version);
-      if (i % RESEND_EVERY == 0) {
+      version =
+          i % CHANGES_PER_RACE == 0 ? race(i, version) : applyUntilAccepted("change-" + i, version);
+      if (i % CHANGES_PER_RESEND == 0) {
         resendLast();
       }
       TimeUnit.MILLISECONDS.sleep(options.intervalMillis());
@@ -134,7 +135,7 @@
             .map(node -> deployment.client().configDocument(deployment.urlOf(node)))
             .distinct()
             .count();
-    return report(watch, nodes, lostChanges()) && differing == 1;
+    return report(watcher, nodes, lostChanges()) && differing == 1;
   }
 
   private static String document(String changeId) {
@@ -147,12 +148,12 @@
   }
 
   /** Sends a change to a random control daemon: about two of three as patches, the rest as PUT. */
-  private Optional<HttpResponse<String>> put(String changeId, long expected) {
+  private Optional<HttpResponse<String>> sendChange(String changeId, long expected) {
     boolean patch = Math.floorMod(changeId.hashCode(), 3) != 0;
     return patch
         ? deployment
             .client()
-            .change(
+            .sendChange(
                 DaemonClient.ChangeKind.PATCH,
                 anyControl(),
                 changeId,
@@ -160,16 +161,16 @@
                 "organisations: [{name: " + changeId + "}]")
         : deployment
             .client()
-            .change(
+            .sendChange(
                 DaemonClient.ChangeKind.PUT, anyControl(), changeId, expected, document(changeId));
   }
 
   /** Sends a change until it is accepted, rebases it on conflicts and returns its version. */
-  private long applied(String changeId, long expectedVersion) throws Exception {
+  private long applyUntilAccepted(String changeId, long expectedVersion) throws Exception {
     long expected = expectedVersion;
     for (int rebase = 0; rebase < MAX_SENDS; rebase++) {
       String id = rebase == 0 ? changeId : changeId + "-rebased-" + rebase;
-      Optional<Long> version = sendUntilAnswered(id, expected);
+      Optional<Long> version = sendUntilFinal(id, expected);
       if (version.isPresent()) {
         return version.get();
       }
@@ -189,14 +190,14 @@
    * Sends a change and resends it with the same id to random control daemons while the response is
    * lost or retryable. Returns the version of the change, or empty on a conflict.
    */
-  private Optional<Long> sendUntilAnswered(String changeId, long expected) throws Exception {
+  private Optional<Long> sendUntilFinal(String changeId, long expected) throws Exception {
     final long sentNanos = System.nanoTime();
     for (int send = 0; send < MAX_SENDS; send++) {
-      Optional<HttpResponse<String>> answer = put(changeId, expected);
-      int status = answer.map(HttpResponse::statusCode).orElse(0);
+      Optional<HttpResponse<String>> response = sendChange(changeId, expected);
+      int status = response.map(HttpResponse::statusCode).orElse(0);
       if (status == 200) {
-        long version = DaemonClient.acceptedVersion(answer);
-        note(new Accepted(changeId, version, sentNanos, System.nanoTime()));
+        long version = DaemonClient.acceptedVersion(response);
+        recordAccepted(new Accepted(changeId, version, sentNanos, System.nanoTime()));
         return Optional.of(version);
       }
       if (status == 409) {
@@ -208,7 +209,7 @@
     throw new IllegalStateException(changeId + " received no final response");
   }
 
-  private synchronized void note(Accepted change) {
+  private synchronized void recordAccepted(Accepted change) {
     accepted.add(change);
   }
 
@@ -222,20 +223,20 @@
         CompletableFuture.supplyAsync(
             () -> {
               try {
-                return sendUntilAnswered("rival-" + i, expected);
+                return sendUntilFinal("rival-" + i, expected);
               } catch (Exception e) {
                 throw new IllegalStateException(e);
               }
             });
-    Optional<Long> mine = sendUntilAnswered("change-" + i, expected);
-    Optional<Long> theirs = rival.get(120, TimeUnit.SECONDS);
-    if (mine.isPresent() && theirs.isPresent()) {
+    Optional<Long> ownVersion = sendUntilFinal("change-" + i, expected);
+    Optional<Long> rivalVersion = rival.get(120, TimeUnit.SECONDS);
+    if (ownVersion.isPresent() && rivalVersion.isPresent()) {
       throw new IllegalStateException(
           "both concurrent changes of version " + expected + " were accepted");
     }
-    return mine.or(() -> theirs).isPresent()
-        ? mine.or(() -> theirs).get()
-        : applied("after-race-" + i, highestVersion());
+    return ownVersion.or(() -> rivalVersion).isPresent()
+        ? ownVersion.or(() -> rivalVersion).get()
+        : applyUntilAccepted("after-race-" + i, highestVersion());
   }
 
   private void resendLast() throws Exception {
@@ -249,10 +250,10 @@
   private long resend(Accepted change) throws Exception {
     resends++;
     for (int send = 0; send < MAX_SENDS; send++) {
-      Optional<HttpResponse<String>> answer = put(change.changeId(), change.version() - 1);
-      int status = answer.map(HttpResponse::statusCode).orElse(0);
+      Optional<HttpResponse<String>> response = sendChange(change.changeId(), change.version() - 1);
+      int status = response.map(HttpResponse::statusCode).orElse(0);
       if (status == 200 || status == 409) {
-        return DaemonClient.acceptedVersion(answer);
+        return DaemonClient.acceptedVersion(response);
       }
       TimeUnit.MILLISECONDS.sleep(RETRY_MILLIS);
     }
@@ -271,7 +272,7 @@
   }
 
   /** Injects one fault after another until the thread is interrupted. */
-  private void disturb() {
+  private void injectFaults() {
     Fault[] faults = Fault.values();
     int next = 0;
     try {
@@ -300,7 +301,7 @@
         deployment.pause(control);
         sleepUninterrupted(2_500);
         deployment.resume(control);
-        disturbed(control, from);
+        recordDisturbance(control, from);
       }
       case CUT_REGION -> cutRegion(DemoDeployment.REGIONS.get(random.nextInt(3)), from);
       default -> {
@@ -321,7 +322,7 @@
   private void restart(String node, long fromNanos) throws Exception {
     deployment.restart(node);
     deployment.injectFaults(node, Set.of(), options.delayMillis());
-    disturbed(node, fromNanos);
+    recordDisturbance(node, fromNanos);
   }
 
   private void cutRegion(String region, long fromNanos) throws Exception {
@@ -337,7 +338,7 @@
     for (Map.Entry<String, String> node : regions.entrySet()) {
       deployment.injectFaults(node.getKey(), Set.of(), options.delayMillis());
       if (node.getValue().equals(region)) {
-        disturbed(node.getKey(), fromNanos);
+        recordDisturbance(node.getKey(), fromNanos);
       }
     }
   }
@@ -358,28 +359,29 @@
     }
   }
 
-  private void disturbed(String node, long fromNanos) {
-    long until = System.nanoTime() + RECOVERY.toNanos();
+  private void recordDisturbance(String node, long fromNanos) {
+    long until = System.nanoTime() + RECOVERY_TIME.toNanos();
     synchronized (disturbances) {
       disturbances.get(node).add(new Disturbance(fromNanos, until));
     }
   }
 
-  private boolean calm(String node, long fromNanos, long untilNanos) {
+  private boolean isUndisturbed(String node, long fromNanos, long untilNanos) {
     return disturbances.get(node).stream()
         .noneMatch(d -> d.fromNanos() <= untilNanos && fromNanos <= d.untilNanos());
   }
 
-  private boolean report(VersionWatch watch, List<String> nodes, long lost) {
+  private boolean report(VersionWatcher watcher, List<String> nodes, long lost) {
     Histogram fromSend = new Histogram(3_600_000L, 3);
     Histogram fromAck = new Histogram(3_600_000L, 3);
     long excluded = 0;
     for (Accepted change : accepted) {
       long everywhereNanos = change.ackedNanos();
       for (String node : nodes) {
-        long at = watch.inForceAtNanos(node, change.version()).orElse(Long.MAX_VALUE);
-        if (calm(node, change.sentNanos(), at)) {
-          everywhereNanos = Math.max(everywhereNanos, at);
+        long activeAtNanos =
+            watcher.activeSinceNanos(node, change.version()).orElse(Long.MAX_VALUE);
+        if (isUndisturbed(node, change.sentNanos(), activeAtNanos)) {
+          everywhereNanos = Math.max(everywhereNanos, activeAtNanos);
         } else {
           excluded++;
         }
@@ -398,13 +400,13 @@
     line.put("resends", resends);
     line.put("wrongResends", wrongResends);
     line.put("lost", lost);
-    line.put("reverts", watch.reverts());
+    line.put("reverts", watcher.reverts());
     line.put("inForceFromAckP50Millis", fromAck.getValueAtPercentile(50));
     line.put("inForceFromAckP99Millis", fromAck.getValueAtPercentile(99));
     line.put("inForceFromSendP50Millis", fromSend.getValueAtPercentile(50));
     line.put("inForceFromSendP99Millis", fromSend.getValueAtPercentile(99));
     line.put("disturbedPairsLeftOut", excluded);
     out.accept(line.toString());
-    return lost == 0 && wrongResends == 0 && watch.reverts() == 0;
+    return lost == 0 && wrongResends == 0 && watcher.reverts() == 0;
   }
 }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/DaemonClient.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/DaemonClient.java
@@ -37,7 +37,7 @@
   }
 
   /** Returns the JSON document at a URL, or empty if the request fails or has another status. */
-  public Optional<JsonNode> document(String url) {
+  public Optional<JsonNode> getJson(String url) {
     return get(url)
         .filter(r -> r.statusCode() == 200)
         .flatMap(
@@ -80,7 +80,7 @@
    *
    * @return the response, or empty if the daemon did not respond
    */
-  public Optional<HttpResponse<String>> change(
+  public Optional<HttpResponse<String>> sendChange(
       ChangeKind kind, String daemonUrl, String changeId, long expectedVersion, String body) {
     return send(
         HttpRequest.newBuilder(URI.create(daemonUrl + "/v1/config"))
@@ -92,10 +92,10 @@
   }
 
   /** Returns the version in the response to an accepted change, or -1 if it was not accepted. */
-  public static long acceptedVersion(Optional<HttpResponse<String>> answer) {
+  public static long acceptedVersion(Optional<HttpResponse<String>> response) {
     try {
-      return answer.isPresent() && answer.get().statusCode() == 200
-          ? JSON.readTree(answer.get().body()).path("version").asLong(-1)
+      return response.isPresent() && response.get().statusCode() == 200
+          ? JSON.readTree(response.get().body()).path("version").asLong(-1)
           : -1;
     } catch (IOException e) {
       return -1;
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/LocalDeployment.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/LocalDeployment.java
@@ -212,19 +212,19 @@
   private JsonNode startDaemon(String node, List<String> args, List<String> firstStartArgs)
       throws Exception {
     Path portFile = workDir.resolve(node + ".ports");
-    List<String> first = new ArrayList<>(args);
-    first.addAll(firstStartArgs);
-    first.addAll(List.of("--port-file", portFile.toString()));
+    List<String> argsOfFirstStart = new ArrayList<>(args);
+    argsOfFirstStart.addAll(firstStartArgs);
+    argsOfFirstStart.addAll(List.of("--port-file", portFile.toString()));
     if (!controlPeers.isEmpty()) {
-      first.addAll(List.of("--peers", String.join(",", controlPeers)));
+      argsOfFirstStart.addAll(List.of("--peers", String.join(",", controlPeers)));
     }
-    launch(node, DAEMON_MAIN, first);
+    launch(node, DAEMON_MAIN, argsOfFirstStart);
     JsonNode ports = awaitPorts(node);
-    List<String> again = new ArrayList<>(args);
-    again.addAll(List.of("--port-file", portFile.toString()));
-    again.addAll(List.of("--http-port", ports.get("http").asText()));
-    again.addAll(List.of("--peer-port", ports.get("peer").asText()));
-    restartArgs.put(node, again);
+    List<String> argsOfRestart = new ArrayList<>(args);
+    argsOfRestart.addAll(List.of("--port-file", portFile.toString()));
+    argsOfRestart.addAll(List.of("--http-port", ports.get("http").asText()));
+    argsOfRestart.addAll(List.of("--peer-port", ports.get("peer").asText()));
+    restartArgs.put(node, argsOfRestart);
     return ports;
   }
 
@@ -259,10 +259,10 @@
     args.addAll(g.extraArgs());
     g.labels().forEach((k, v) -> args.addAll(List.of("--label", k + "=" + v)));
     launch(g.idPrefix(), STANDIN_MAIN, args);
-    noteStandinUrls(g.idPrefix(), awaitPorts(g.idPrefix()));
+    recordStandinUrls(g.idPrefix(), awaitPorts(g.idPrefix()));
   }
 
-  private void noteStandinUrls(String group, JsonNode ports) {
+  private void recordStandinUrls(String group, JsonNode ports) {
     List<String> urls = new ArrayList<>();
     ports.forEach(n -> urls.add(n.asText()));
     standinUrls.put(group, urls);
@@ -273,10 +273,10 @@
         new DeploymentProcess(name, mainClass, workDir.resolve(name + ".log"));
     processes.put(name, process);
     restartArgs.put(name, args);
-    run(process, args);
+    startProcess(process, args);
   }
 
-  private void run(DeploymentProcess process, List<String> args) throws IOException {
+  private void startProcess(DeploymentProcess process, List<String> args) throws IOException {
     Files.deleteIfExists(workDir.resolve(process.name() + ".ports"));
     process.start(args);
   }
@@ -298,10 +298,10 @@
     if (!standinUrls.containsKey(name)) {
       args.addAll(List.of("--peers", String.join(",", controlPeers)));
     }
-    run(processes.get(name), args);
+    startProcess(processes.get(name), args);
     JsonNode ports = awaitPorts(name);
     if (standinUrls.containsKey(name)) {
-      noteStandinUrls(name, ports);
+      recordStandinUrls(name, ports);
     }
   }
 
@@ -331,7 +331,7 @@
     return standinUrls.entrySet().stream()
         .filter(group -> !processes.get(group.getKey()).stopped())
         .flatMap(group -> group.getValue().stream())
-        .flatMap(url -> client.document(url + "/v1/stats").stream())
+        .flatMap(url -> client.getJson(url + "/v1/stats").stream())
         .mapToLong(stats -> stats.path(counter).asLong())
         .sum();
   }
@@ -368,7 +368,8 @@
             if (current >= 0) {
               version[0] =
                   DaemonClient.acceptedVersion(
-                      client.change(DaemonClient.ChangeKind.PUT, url, changeId, current, document));
+                      client.sendChange(
+                          DaemonClient.ChangeKind.PUT, url, changeId, current, document));
             }
             if (version[0] > 0) {
               return true;
@@ -381,7 +382,7 @@
 
   /** Returns the endpoints that an entry has recorded, or an empty array if it does not respond. */
   public JsonNode endpoints(String node) {
-    return client.document(urlOf(node) + "/v1/endpoints").orElseGet(JSON::createArrayNode);
+    return client.getJson(urlOf(node) + "/v1/endpoints").orElseGet(JSON::createArrayNode);
   }
 
   /**
@@ -389,11 +390,12 @@
    *
    * @throws IllegalStateException if it does not hold within {@link #START_TIMEOUT}
    */
-  public static void awaitCondition(String what, BooleanSupplier condition) throws Exception {
+  public static void awaitCondition(String description, BooleanSupplier condition)
+      throws Exception {
     long deadline = System.nanoTime() + START_TIMEOUT.toNanos();
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > deadline) {
-        throw new IllegalStateException("timed out waiting until " + what);
+        throw new IllegalStateException("timed out waiting until " + description);
       }
       TimeUnit.MILLISECONDS.sleep(50);
     }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/OrderBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/OrderBench.java
@@ -13,7 +13,7 @@
  */
 public final class OrderBench {
   private static final String REGION = "uusimaa";
-  private static final long CALM_MILLIS = 6_000;
+  private static final long FAULT_INTERVAL_MILLIS = 6_000;
   private static final long FREEZE_MILLIS = 1_500;
 
   private final int seconds;
@@ -42,28 +42,28 @@
               .toList();
       OrderLoad load = new OrderLoad(deployment, entries, desks, "bench");
       final CompletableFuture<Void> sending = load.start();
-      int faults = disturb(deployment, entries);
+      int faults = injectFaults(deployment, entries);
       load.finish(sending);
       out.accept("faults " + faults + ", " + load.summary());
       out.accept(
           "keys with different orders "
-              + load.keysAnsweredTwoWays().size()
+              + load.keysWithDifferentOrders().size()
               + ", served and not run "
               + load.servedKeysNotRun().size()
               + ", refused and run "
               + load.refusedKeysThatRan().size());
       return load.runsByKey().values().stream().allMatch(runs -> runs <= 1)
-          && load.keysAnsweredTwoWays().isEmpty()
+          && load.keysWithDifferentOrders().isEmpty()
           && load.servedKeysNotRun().isEmpty()
           && load.refusedKeysThatRan().isEmpty();
     }
   }
 
-  private int disturb(LocalDeployment deployment, List<String> entries) throws Exception {
+  private int injectFaults(LocalDeployment deployment, List<String> entries) throws Exception {
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
     int faults = 0;
     while (System.nanoTime() < until) {
-      OrderLoad.pause(CALM_MILLIS);
+      OrderLoad.sleep(FAULT_INTERVAL_MILLIS);
       String entry = entries.get(faults % entries.size());
       switch (faults % 3) {
         case 0 -> {
@@ -72,7 +72,7 @@
         }
         case 1 -> {
           deployment.pause(entry);
-          OrderLoad.pause(FREEZE_MILLIS);
+          OrderLoad.sleep(FREEZE_MILLIS);
           deployment.resume(entry);
         }
         default -> {
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/OrderLoad.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/OrderLoad.java
@@ -42,8 +42,8 @@
   private final AtomicBoolean stopping = new AtomicBoolean();
   private final AtomicInteger nextOrder = new AtomicInteger();
   private final Map<String, Set<String>> ordersByKey = new ConcurrentHashMap<>();
-  private final Map<String, String> lastWordByKey = new ConcurrentHashMap<>();
-  private final Map<String, AtomicInteger> words = new ConcurrentHashMap<>();
+  private final Map<String, String> outcomeByKey = new ConcurrentHashMap<>();
+  private final Map<String, AtomicInteger> responsesByOutcome = new ConcurrentHashMap<>();
   private final ExecutorService callers = Executors.newFixedThreadPool(2 * CALLERS);
   private final HttpClient http =
       HttpClient.newBuilder()
@@ -78,37 +78,38 @@
   public CompletableFuture<Void> start() {
     List<CompletableFuture<Void>> all = new ArrayList<>();
     for (int i = 0; i < CALLERS; i++) {
-      all.add(CompletableFuture.runAsync(this::callUntilStopped, callers));
+      all.add(CompletableFuture.runAsync(this::sendUntilStopped, callers));
     }
     return CompletableFuture.allOf(all.toArray(new CompletableFuture<?>[0]));
   }
 
   /** Stops the load, waits for the final response to every order and reads the run counters. */
   public void finish(CompletableFuture<Void> started) throws Exception {
-    pause(SETTLE_MILLIS);
+    sleep(SETTLE_MILLIS);
     stopping.set(true);
     started.get(120, TimeUnit.SECONDS);
     callers.shutdown();
     runs = readRuns();
   }
 
-  private void callUntilStopped() {
+  private void sendUntilStopped() {
     while (!stopping.get()) {
       int n = nextOrder.getAndIncrement();
       String key = name + "-" + n;
-      CompletableFuture<Void> twin = CompletableFuture.runAsync(() -> order(key, n + 1), callers);
-      order(key, n);
-      twin.join();
+      CompletableFuture<Void> duplicate =
+          CompletableFuture.runAsync(() -> sendUntilFinal(key, n + 1), callers);
+      sendUntilFinal(key, n);
+      duplicate.join();
     }
   }
 
-  private void order(String key, int firstEntry) {
-    for (int send = 0; send < MAX_SENDS; send++) {
-      String entry = deployment.urlOf(entries.get((firstEntry + send) % entries.size()));
+  private void sendUntilFinal(String key, int firstEntry) {
+    for (int sends = 0; sends < MAX_SENDS; sends++) {
+      String entry = deployment.urlOf(entries.get((firstEntry + sends) % entries.size()));
       if (sendOnce(entry, key) == Finality.FINAL) {
         return;
       }
-      pause(RETRY_MILLIS);
+      sleep(RETRY_MILLIS);
     }
   }
 
@@ -127,14 +128,14 @@
       if (r.statusCode() == 200) {
         String order = body.path("runner").asText() + "/" + body.path("order").asText();
         ordersByKey.computeIfAbsent(key, k -> ConcurrentHashMap.newKeySet()).add(order);
-        note(key, "served");
+        recordOutcome(key, "served");
         return Finality.FINAL;
       }
       String code = body.path("error").path("code").asText("http_" + r.statusCode());
-      note(key, code);
+      recordOutcome(key, code);
       return code.equals("outcome_unknown") ? Finality.FINAL : Finality.ASK_AGAIN;
     } catch (IOException e) {
-      note(key, "no_answer");
+      recordOutcome(key, "no_answer");
       return Finality.ASK_AGAIN;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -142,19 +143,21 @@
     }
   }
 
-  private void note(String key, String word) {
-    words.computeIfAbsent(word, w -> new AtomicInteger()).incrementAndGet();
-    lastWordByKey.merge(
-        key, word, (held, next) -> held.equals("served") ? held : worse(held, next));
+  private void recordOutcome(String key, String outcome) {
+    responsesByOutcome.computeIfAbsent(outcome, w -> new AtomicInteger()).incrementAndGet();
+    outcomeByKey.merge(
+        key,
+        outcome,
+        (current, next) -> current.equals("served") ? current : lessCertain(current, next));
   }
 
   /** Returns the outcome that leaves it open whether the order ran, if either of them does. */
-  private static String worse(String held, String next) {
-    return saysNotRun(held) ? next : held;
+  private static String lessCertain(String current, String next) {
+    return isNotRun(current) ? next : current;
   }
 
-  private static boolean saysNotRun(String word) {
-    return word.equals("not_run") || word.equals("shutting_down");
+  private static boolean isNotRun(String outcome) {
+    return outcome.equals("not_run") || outcome.equals("shutting_down");
   }
 
   private Map<String, Integer> readRuns() throws IOException, InterruptedException {
@@ -179,7 +182,7 @@
   }
 
   /** Returns the keys whose responses contain different orders. */
-  public Set<String> keysAnsweredTwoWays() {
+  public Set<String> keysWithDifferentOrders() {
     Set<String> keys = new TreeSet<>();
     ordersByKey.forEach(
         (key, orders) -> {
@@ -200,9 +203,9 @@
   /** Returns the keys that a runner has run although every response reported them as not run. */
   public Set<String> refusedKeysThatRan() {
     Set<String> keys = new TreeSet<>();
-    lastWordByKey.forEach(
-        (key, word) -> {
-          if (saysNotRun(word) && runs.containsKey(key)) {
+    outcomeByKey.forEach(
+        (key, outcome) -> {
+          if (isNotRun(outcome) && runs.containsKey(key)) {
             keys.add(key);
           }
         });
@@ -216,21 +219,21 @@
 
   /** Returns the number of responses by outcome, and the number of keys run more than once. */
   public String summary() {
-    Map<String, Integer> heard = new TreeMap<>();
-    words.forEach((word, n) -> heard.put(word, n.get()));
-    long doubled = runs.values().stream().filter(n -> n > 1).count();
+    Map<String, Integer> counts = new TreeMap<>();
+    responsesByOutcome.forEach((outcome, n) -> counts.put(outcome, n.get()));
+    long keysRunTwice = runs.values().stream().filter(n -> n > 1).count();
     return "orders "
         + nextOrder.get()
         + ", outcomes "
-        + heard
+        + counts
         + ", keys run "
         + runs.size()
         + ", keys run more than once "
-        + doubled;
+        + keysRunTwice;
   }
 
   /** Sleeps for the given time, or until the thread is interrupted. */
-  public static void pause(long millis) {
+  public static void sleep(long millis) {
     try {
       TimeUnit.MILLISECONDS.sleep(millis);
     } catch (InterruptedException e) {
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/PolicyBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/PolicyBench.java
@@ -23,7 +23,7 @@
   private static final int CAPACITY = 8;
   private static final int CACHED_PREFIXES = 24;
   private static final int[] RUNNERS = {4, 3, 2};
-  private static final String LOST = "-lost";
+  private static final String LOST_GROUP_SUFFIX = "-lost";
 
   private final Options options;
   private final Consumer<String> out;
@@ -66,7 +66,7 @@
       int lost = i == 0 ? RUNNERS[0] - 1 : 0;
       groups.add(engines("writers-" + region, region, RUNNERS[i] - lost));
       if (lost > 0) {
-        groups.add(engines("writers-" + region + LOST, region, lost));
+        groups.add(engines("writers-" + region + LOST_GROUP_SUFFIX, region, lost));
       }
     }
     return new LocalDeployment.Topology(
@@ -98,10 +98,11 @@
       List<TraceRequest> warmUp = trace.subList(0, trace.size() / 6);
       replayer.replay(warmUp, r -> entryFor(deployment, r));
       final Counters before = Counters.read(deployment);
-      CompletableFuture<Counters> loss =
+      CompletableFuture<Counters> lostCounters =
           CompletableFuture.supplyAsync(() -> loseEngines(deployment));
       ReplayResult result = replayer.replay(trace, r -> entryFor(deployment, r));
-      Counters used = Counters.read(deployment).plus(loss.get(60, TimeUnit.SECONDS)).minus(before);
+      Counters used =
+          Counters.read(deployment).plus(lostCounters.get(60, TimeUnit.SECONDS)).minus(before);
       out.accept(report(policy, trace, result, used).toString());
       return result.outsideResidency == 0 && result.corrupted == 0;
     }
@@ -116,7 +117,7 @@
     try {
       TimeUnit.MILLISECONDS.sleep(options.seconds() * 1000L / 3);
       Counters all = Counters.read(deployment);
-      deployment.kill("writers-" + DemoDeployment.REGIONS.get(0) + LOST);
+      deployment.kill("writers-" + DemoDeployment.REGIONS.get(0) + LOST_GROUP_SUFFIX);
       return all.minus(Counters.read(deployment));
     } catch (Exception e) {
       throw new IllegalStateException(e);
@@ -155,14 +156,14 @@
     line.put("crossRegionShare", result.crossRegionShare());
     line.put("outsideResidency", result.outsideResidency);
     line.put("corrupted", result.corrupted);
-    tails(line, "review", result.reviewFirstTokenMicros);
-    tails(line, "question", result.questionFirstTokenMicros);
+    putFirstTokenPercentiles(line, "review", result.reviewFirstTokenMicros);
+    putFirstTokenPercentiles(line, "question", result.questionFirstTokenMicros);
     line.put("betweenTokensP95Millis", millis(result.betweenTokensMicros, 95));
     line.put("betweenTokensP99Millis", millis(result.betweenTokensMicros, 99));
     return line;
   }
 
-  private static void tails(ObjectNode line, String kind, Histogram firstToken) {
+  private static void putFirstTokenPercentiles(ObjectNode line, String kind, Histogram firstToken) {
     line.put(kind + "FirstTokenP50Millis", millis(firstToken, 50));
     line.put(kind + "FirstTokenP95Millis", millis(firstToken, 95));
     line.put(kind + "FirstTokenP99Millis", millis(firstToken, 99));
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ReplayResult.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ReplayResult.java
@@ -44,13 +44,13 @@
   /** Served requests whose serving region is outside their residency. */
   public int outsideResidency;
 
-  synchronized void firstToken(TraceRequest request, long micros) {
+  synchronized void recordFirstToken(TraceRequest request, long micros) {
     firstTokenMicros.recordValue(micros);
     boolean review = request.prompt().length() >= WorkloadTrace.REVIEW_CHARS;
     (review ? reviewFirstTokenMicros : questionFirstTokenMicros).recordValue(micros);
   }
 
-  synchronized void tokenGap(long micros) {
+  synchronized void recordTokenGap(long micros) {
     betweenTokensMicros.recordValue(micros);
   }
 
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ReplayedAnswer.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ReplayedResponse.java
@@ -9,7 +9,7 @@
  * Processes a response of a replay while it arrives. Checks that every token contains the request
  * id and that the response is complete, and records latencies and the outcome.
  */
-final class ReplayedAnswer {
+final class ReplayedResponse {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final String EVENT_END = "\n\n";
   private static final String LAST_EVENT = "data: [DONE]";
@@ -18,49 +18,49 @@
   private final String requestId;
   private final ReplayResult result;
   private final long startNanos = System.nanoTime();
-  private final StringBuilder unread = new StringBuilder();
+  private final StringBuilder buffered = new StringBuilder();
   private long lastTokenNanos;
   private boolean complete;
   private boolean corrupt;
-  private boolean brokenOff;
+  private boolean errorEvent;
 
-  ReplayedAnswer(TraceRequest request, String requestId, ReplayResult result) {
+  ReplayedResponse(TraceRequest request, String requestId, ReplayResult result) {
     this.request = request;
     this.requestId = requestId;
     this.result = result;
   }
 
   /** Processes a chunk of the response body. */
-  void part(int status, String text) {
-    unread.append(text);
+  void onChunk(int status, String text) {
+    buffered.append(text);
     if (status != 200 || !request.stream()) {
       return;
     }
-    for (int end = unread.indexOf(EVENT_END); end >= 0; end = unread.indexOf(EVENT_END)) {
-      event(unread.substring(0, end));
-      unread.delete(0, end + EVENT_END.length());
+    for (int end = buffered.indexOf(EVENT_END); end >= 0; end = buffered.indexOf(EVENT_END)) {
+      onEvent(buffered.substring(0, end));
+      buffered.delete(0, end + EVENT_END.length());
     }
   }
 
-  private void event(String event) {
+  private void onEvent(String event) {
     if (event.equals(LAST_EVENT)) {
       complete = true;
     } else if (event.startsWith("data: ")) {
-      token();
+      onToken();
       corrupt |= !event.contains(requestId);
     } else if (event.startsWith("event: error")) {
-      brokenOff = true;
+      errorEvent = true;
     } else {
       corrupt = true;
     }
   }
 
-  private void token() {
+  private void onToken() {
     long now = System.nanoTime();
     if (lastTokenNanos == 0) {
-      result.firstToken(request, (now - startNanos) / 1000);
+      result.recordFirstToken(request, (now - startNanos) / 1000);
     } else {
-      result.tokenGap((now - lastTokenNanos) / 1000);
+      result.recordTokenGap((now - lastTokenNanos) / 1000);
     }
     lastTokenNanos = now;
   }
@@ -70,16 +70,16 @@
    *
    * @param servedIn the region that served the request, if the response states it
    */
-  void end(int status, Optional<String> servedIn) {
+  void onEnd(int status, Optional<String> servedIn) {
     if (status != 200) {
       result.count(errorCode(status));
       return;
     }
     if (!request.stream()) {
-      result.firstToken(request, (System.nanoTime() - startNanos) / 1000);
-      complete = unread.indexOf(requestId) >= 0 && unread.indexOf("\"finish_reason\"") >= 0;
+      result.recordFirstToken(request, (System.nanoTime() - startNanos) / 1000);
+      complete = buffered.indexOf(requestId) >= 0 && buffered.indexOf("\"finish_reason\"") >= 0;
     }
-    if (brokenOff && !complete && !corrupt) {
+    if (errorEvent && !complete && !corrupt) {
       result.count("broken_off");
     } else if (corrupt || !complete) {
       result.countCorrupted();
@@ -91,7 +91,7 @@
   private String errorCode(int status) {
     String plain = "http_" + status;
     try {
-      return JSON.readTree(unread.toString()).path("error").path("code").asText(plain);
+      return JSON.readTree(buffered.toString()).path("error").path("code").asText(plain);
     } catch (IOException e) {
       return plain;
     }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
@@ -54,7 +54,7 @@
   private static final int PATCH_ROUNDS = 50;
   private static final int MEMBERS_PER_REGION = 27;
   private static final int CONTROL_MEMBERS = 5;
-  private static final GatewayView IDLE =
+  private static final GatewayView IDLE_VIEW =
       new GatewayView() {
         @Override
         public int inFlightTo(String endpointId) {
@@ -111,14 +111,14 @@
         }
         Router router = new Router("uusimaa", policy);
         long sink = 0;
-        for (int warm = 0; warm < decisions / 4; warm++) {
-          sink += router.route(request(warm), config, directory, IDLE, now).hashCode();
+        for (int round = 0; round < decisions / 4; round++) {
+          sink += router.route(request(round), config, directory, IDLE_VIEW, now).hashCode();
         }
-        long cpu0 = THREADS.getCurrentThreadCpuTime();
+        long startCpuNanos = THREADS.getCurrentThreadCpuTime();
         for (int i = 0; i < decisions; i++) {
-          sink += router.route(request(i), config, directory, IDLE, now).hashCode();
+          sink += router.route(request(i), config, directory, IDLE_VIEW, now).hashCode();
         }
-        long cpuNanos = THREADS.getCurrentThreadCpuTime() - cpu0;
+        long cpuNanos = THREADS.getCurrentThreadCpuTime() - startCpuNanos;
         ObjectNode line = JSON.createObjectNode();
         line.put("bench", "routing");
         line.put("policy", policy.name());
@@ -148,15 +148,15 @@
             .append(", residency: [uusimaa, pirkanmaa], requestsPerSecond: 20}\n");
       }
       String document = doc.toString();
-      for (int warm = 0; warm < 3; warm++) {
+      for (int round = 0; round < 3; round++) {
         ConfigParser.parse(document);
       }
       int rounds = 5;
-      long cpu0 = THREADS.getCurrentThreadCpuTime();
+      long startCpuNanos = THREADS.getCurrentThreadCpuTime();
       for (int r = 0; r < rounds; r++) {
         ConfigParser.parse(document);
       }
-      final long cpuNanos = (THREADS.getCurrentThreadCpuTime() - cpu0) / rounds;
+      final long cpuNanos = (THREADS.getCurrentThreadCpuTime() - startCpuNanos) / rounds;
       final long heapBefore = usedHeapAfterGc();
       ConfigStore store = new ConfigStore();
       store.offer(1, document);
@@ -169,11 +169,11 @@
       line.put("heapBytesHeld", heapAfter - heapBefore);
       String patch = "organisations: [{name: org-7, residency: [uusimaa], requestsPerSecond: 9}]";
       store.offerPatches(1, List.of(ConfigPatch.parse(patch)));
-      long patchCpu0 = THREADS.getCurrentThreadCpuTime();
+      long patchStartCpuNanos = THREADS.getCurrentThreadCpuTime();
       for (int v = 2; v < 2 + PATCH_ROUNDS; v++) {
         store.offerPatches(v, List.of(ConfigPatch.parse(patch)));
       }
-      long patchNanos = (THREADS.getCurrentThreadCpuTime() - patchCpu0) / PATCH_ROUNDS;
+      long patchNanos = (THREADS.getCurrentThreadCpuTime() - patchStartCpuNanos) / PATCH_ROUNDS;
       line.put("patchBytes", patch.length());
       line.put("patchCpuMicros", patchNanos / 1000.0);
       line.put("heapBytesHeldPatched", usedHeapAfterGc() - heapBefore);
@@ -240,16 +240,16 @@
                 interval.toMillis(),
                 id -> m.beat(new Gossiper.SelfReport(false, 1, Map.of("writer", 4))));
       }
-      long settle = run.toMillis() / 2;
-      TimeUnit.MILLISECONDS.sleep(settle);
-      long bytes0 = transports.stream().mapToLong(PeerTransport::bytesSent).sum();
-      long cpu0 = processCpuNanos();
-      long wall0 = System.nanoTime();
-      TimeUnit.MILLISECONDS.sleep(run.toMillis() - settle);
-      long seconds = System.nanoTime() - wall0;
-      long bytes = transports.stream().mapToLong(PeerTransport::bytesSent).sum() - bytes0;
-      long cpu = processCpuNanos() - cpu0;
-      double wallSeconds = seconds / 1e9;
+      long settleMillis = run.toMillis() / 2;
+      TimeUnit.MILLISECONDS.sleep(settleMillis);
+      long startBytes = transports.stream().mapToLong(PeerTransport::bytesSent).sum();
+      long startCpuNanos = processCpuNanos();
+      long startNanos = System.nanoTime();
+      TimeUnit.MILLISECONDS.sleep(run.toMillis() - settleMillis);
+      long wallNanos = System.nanoTime() - startNanos;
+      long bytes = transports.stream().mapToLong(PeerTransport::bytesSent).sum() - startBytes;
+      long cpuNanos = processCpuNanos() - startCpuNanos;
+      double wallSeconds = wallNanos / 1e9;
       double knownAverage =
           members.stream().mapToInt(m -> m.table().all().size()).average().orElse(0);
       ObjectNode line = JSON.createObjectNode();
@@ -258,10 +258,13 @@
       line.put("intervalMillis", interval.toMillis());
       line.put("knownPerMemberAverage", knownAverage);
       line.put("bytesPerSecondPerMember", bytes / wallSeconds / n);
-      long[] most = transports.stream().mapToLong(PeerTransport::bytesSent).sorted().toArray();
-      line.put("bytesShareOfBusiestMember", most[n - 1] * (double) n / Arrays.stream(most).sum());
-      line.put("suspected", members.stream().mapToLong(SlopeBench::suspected).sum());
-      line.put("cpuShareOfCorePerMember", cpu / 1e9 / wallSeconds / n);
+      long[] sortedBytes =
+          transports.stream().mapToLong(PeerTransport::bytesSent).sorted().toArray();
+      line.put(
+          "bytesShareOfBusiestMember",
+          sortedBytes[n - 1] * (double) n / Arrays.stream(sortedBytes).sum());
+      line.put("suspected", members.stream().mapToLong(SlopeBench::suspectedCount).sum());
+      line.put("cpuShareOfCorePerMember", cpuNanos / 1e9 / wallSeconds / n);
       out.accept(line.toString());
       for (long timer : timers) {
         vertx.cancelTimer(timer);
@@ -280,15 +283,15 @@
     String document = "selectors: []\n#" + "x".repeat(Math.max(0, changeBytes - 16)) + "\n";
     org.HdrHistogram.Histogram micros = new org.HdrHistogram.Histogram(10_000_000L, 3);
     try (DurableLog log = DurableLog.open(dir, true)) {
-      long cpu0 = THREADS.getCurrentThreadCpuTime();
+      long startCpuNanos = THREADS.getCurrentThreadCpuTime();
       for (int i = 0; i < appends; i++) {
-        long t0 = System.nanoTime();
+        long startNanos = System.nanoTime();
         log.append(
             List.of(
                 new LogEntry(i + 1, 1, i + 1, new Command.ConfigChange("change-" + i, document))));
-        micros.recordValue((System.nanoTime() - t0) / 1000);
+        micros.recordValue((System.nanoTime() - startNanos) / 1000);
       }
-      long cpuNanos = THREADS.getCurrentThreadCpuTime() - cpu0;
+      long cpuNanos = THREADS.getCurrentThreadCpuTime() - startCpuNanos;
       ObjectNode line = JSON.createObjectNode();
       line.put("bench", "control-log");
       line.put("appends", appends);
@@ -300,7 +303,7 @@
     }
   }
 
-  private static long suspected(Membership m) {
+  private static long suspectedCount(Membership m) {
     Instant now = Instant.now();
     return m.table().followed().stream()
         .filter(member -> m.table().status(member, now) != MemberStatus.ALIVE)
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/TraceReplayer.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/TraceReplayer.java
@@ -57,16 +57,16 @@
 
   private void send(TraceRequest request, String target, ReplayResult result, CountDownLatch done) {
     String requestId = UUID.randomUUID().toString();
-    ReplayedAnswer answer = new ReplayedAnswer(request, requestId, result);
+    ReplayedResponse replayed = new ReplayedResponse(request, requestId, result);
     client
         .request(options(request, target, requestId))
-        .onFailure(e -> failed("unreachable", result, done))
+        .onFailure(e -> countFailure("unreachable", result, done))
         .onSuccess(
             upstream ->
                 upstream
                     .send(Buffer.buffer(request.body()))
-                    .onFailure(e -> failed("cut", result, done))
-                    .onSuccess(response -> read(response, answer, result, done)));
+                    .onFailure(e -> countFailure("cut", result, done))
+                    .onSuccess(response -> readResponse(response, replayed, result, done)));
   }
 
   private static RequestOptions options(TraceRequest request, String target, String requestId) {
@@ -83,23 +83,23 @@
     return options;
   }
 
-  private static void read(
+  private static void readResponse(
       HttpClientResponse response,
-      ReplayedAnswer answer,
+      ReplayedResponse replayed,
       ReplayResult result,
       CountDownLatch done) {
-    response.handler(chunk -> answer.part(response.statusCode(), chunk.toString()));
-    response.exceptionHandler(e -> failed("cut", result, done));
+    response.handler(chunk -> replayed.onChunk(response.statusCode(), chunk.toString()));
+    response.exceptionHandler(e -> countFailure("cut", result, done));
     response.endHandler(
         v -> {
-          answer.end(
+          replayed.onEnd(
               response.statusCode(),
               Optional.ofNullable(response.getHeader("X-Lacewingcroft-Region")));
           done.countDown();
         });
   }
 
-  private static void failed(String outcome, ReplayResult result, CountDownLatch done) {
+  private static void countFailure(String outcome, ReplayResult result, CountDownLatch done) {
     result.count(outcome);
     done.countDown();
   }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/VersionWatch.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/VersionWatcher.java
@@ -12,53 +12,56 @@
  * daemon. Every observation of an older version counts as a revert, also across restarts of the
  * daemon.
  */
-public final class VersionWatch implements AutoCloseable {
+public final class VersionWatcher implements AutoCloseable {
   private static final long POLL_MILLIS = 10;
 
   private final LocalDeployment deployment;
-  private final Map<String, Track> tracks = new LinkedHashMap<>();
+  private final Map<String, VersionHistory> histories = new LinkedHashMap<>();
   private final List<Thread> threads = new ArrayList<>();
   private volatile boolean closed;
 
-  private record Rise(long atNanos, long version) {}
+  private record VersionIncrease(long atNanos, long version) {}
 
-  private static final class Track {
-    private final List<Rise> rises = new ArrayList<>();
+  private static final class VersionHistory {
+    private final List<VersionIncrease> increases = new ArrayList<>();
     private long highest;
     private int reverts;
 
-    synchronized void saw(long version, long atNanos) {
+    synchronized void record(long version, long atNanos) {
       if (version > highest) {
         highest = version;
-        rises.add(new Rise(atNanos, version));
+        increases.add(new VersionIncrease(atNanos, version));
       } else if (version < highest) {
         reverts++;
       }
     }
 
-    synchronized Optional<Long> inForceAt(long version) {
-      return rises.stream().filter(r -> r.version() >= version).map(Rise::atNanos).findFirst();
+    synchronized Optional<Long> activeSinceNanos(long version) {
+      return increases.stream()
+          .filter(r -> r.version() >= version)
+          .map(VersionIncrease::atNanos)
+          .findFirst();
     }
   }
 
   /** Creates a watcher and starts polling the given daemons. */
-  public VersionWatch(LocalDeployment deployment, List<String> nodes) {
+  public VersionWatcher(LocalDeployment deployment, List<String> nodes) {
     this.deployment = deployment;
     for (String node : nodes) {
-      Track track = new Track();
-      tracks.put(node, track);
-      Thread thread = new Thread(() -> poll(deployment.urlOf(node), track), "watch-" + node);
+      VersionHistory history = new VersionHistory();
+      histories.put(node, history);
+      Thread thread = new Thread(() -> poll(deployment.urlOf(node), history), "watch-" + node);
       thread.setDaemon(true);
       thread.start();
       threads.add(thread);
     }
   }
 
-  private void poll(String url, Track track) {
+  private void poll(String url, VersionHistory history) {
     while (!closed) {
       long version = deployment.client().configVersion(url);
       if (version >= 0) {
-        track.saw(version, System.nanoTime());
+        history.record(version, System.nanoTime());
       }
       try {
         TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
@@ -72,13 +75,13 @@
    * Returns the {@link System#nanoTime} at which this or a newer version was first observed on a
    * daemon, or empty if it was not.
    */
-  public Optional<Long> inForceAtNanos(String node, long version) {
-    return tracks.get(node).inForceAt(version);
+  public Optional<Long> activeSinceNanos(String node, long version) {
+    return histories.get(node).activeSinceNanos(version);
   }
 
   /** Returns the number of polls of all daemons that returned an older version than before. */
   public int reverts() {
-    return tracks.values().stream().mapToInt(t -> t.reverts).sum();
+    return histories.values().stream().mapToInt(t -> t.reverts).sum();
   }
 
   @Override
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/WorkloadTrace.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/WorkloadTrace.java
@@ -17,7 +17,7 @@
 
   private static final int CASES_PER_REGION = 24;
   private static final double REVIEW_SHARE = 0.35;
-  private static final double BOUND_HOME_SHARE = 0.29;
+  private static final double HOME_RESIDENCY_SHARE = 0.29;
   private static final int REVIEW_TOKENS = 42;
   private static final int QUESTION_TOKENS = 6;
   private static final int QUESTION_CHARS = 600;
@@ -39,8 +39,8 @@
     double atMillis = 0;
     while (atMillis < seconds * 1000.0) {
       atMillis += -Math.log(1 - random.nextDouble()) * 1000 / requestsPerSecond;
-      int pick = random.nextInt(regions.size() + 1);
-      String region = regions.get(pick == regions.size() ? 0 : pick);
+      int regionIndex = random.nextInt(regions.size() + 1);
+      String region = regions.get(regionIndex == regions.size() ? 0 : regionIndex);
       trace.add(request((long) atMillis, region, random));
     }
     return trace;
@@ -53,16 +53,16 @@
         (review ? "History of case " : "Question on site ") + id + " in " + region + ". ";
     int chars = review ? REVIEW_CHARS : QUESTION_CHARS;
     String prompt = topic.repeat(chars / topic.length() + 1) + random.nextInt();
-    boolean bound = random.nextDouble() < BOUND_HOME_SHARE;
+    boolean homeOnly = random.nextDouble() < HOME_RESIDENCY_SHARE;
     return new TraceRequest(
         atMillis,
         region,
-        bound ? "kunta-" + region : "puhdas-seina",
+        homeOnly ? "kunta-" + region : "puhdas-seina",
         "writer",
         prompt,
         review ? REVIEW_TOKENS : QUESTION_TOKENS,
         true,
-        bound ? Optional.of(region) : Optional.empty(),
+        homeOnly ? Optional.of(region) : Optional.empty(),
         Optional.empty());
   }
 }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/StatedConditions.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/AdvertisedConditions.java
@@ -12,9 +12,9 @@
  * in requests per second, a requested pause during which it rejects every request, and whether it
  * is draining.
  */
-final class StatedConditions {
+final class AdvertisedConditions {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final int UNAVAILABLE = 503;
+  private static final int SERVICE_UNAVAILABLE_STATUS = 503;
 
   private volatile OptionalDouble requestsPerSecond = OptionalDouble.empty();
   private volatile OptionalDouble pauseSeconds = OptionalDouble.empty();
@@ -27,48 +27,45 @@
    * @return whether the body was valid; an invalid body changes nothing
    */
   boolean set(Buffer body) {
-    JsonNode order;
+    JsonNode json;
     try {
-      order = JSON.readTree(body.getBytes());
+      json = JSON.readTree(body.getBytes());
     } catch (IOException e) {
       return false;
     }
-    if (!isNumberOrMissing(order, "requestsPerSecond")
-        || !isNumberOrMissing(order, "pauseSeconds")) {
+    if (!isNumberOrMissing(json, "requestsPerSecond") || !isNumberOrMissing(json, "pauseSeconds")) {
       return false;
     }
-    requestsPerSecond = number(order, "requestsPerSecond");
-    pauseSeconds = number(order, "pauseSeconds");
+    requestsPerSecond = number(json, "requestsPerSecond");
+    pauseSeconds = number(json, "pauseSeconds");
     return true;
   }
 
-  private static boolean isNumberOrMissing(JsonNode order, String field) {
-    JsonNode value = order.path(field);
-    return order.isObject() && (value.isMissingNode() || value.isNumber() && value.asDouble() >= 0);
+  private static boolean isNumberOrMissing(JsonNode json, String field) {
+    JsonNode value = json.path(field);
+    return json.isObject() && (value.isMissingNode() || value.isNumber() && value.asDouble() >= 0);
   }
 
-  private static OptionalDouble number(JsonNode order, String field) {
-    return order.has(field)
-        ? OptionalDouble.of(order.get(field).asDouble())
-        : OptionalDouble.empty();
+  private static OptionalDouble number(JsonNode json, String field) {
+    return json.has(field) ? OptionalDouble.of(json.get(field).asDouble()) : OptionalDouble.empty();
   }
 
   /** Adds the headers that advertise the rate limit and the draining state to a response. */
-  void state(HttpServerResponse response, boolean leaving) {
+  void addHeaders(HttpServerResponse response, boolean draining) {
     requestsPerSecond.ifPresent(rate -> response.putHeader("Server-Limit", Double.toString(rate)));
-    if (leaving) {
+    if (draining) {
       response.putHeader("Server-Leaving", "1");
     }
   }
 
   /** Rejects a request with status 503 if a pause is set, and returns whether it did. */
-  boolean turnsAway(HttpServerResponse response) {
+  boolean rejectIfPaused(HttpServerResponse response) {
     OptionalDouble pause = pauseSeconds;
     if (pause.isEmpty()) {
       return false;
     }
     response
-        .setStatusCode(UNAVAILABLE)
+        .setStatusCode(SERVICE_UNAVAILABLE_STATUS)
         .putHeader("Retry-After", Double.toString(pause.getAsDouble()))
         .end("{\"error\":\"turned_away\"}");
     return true;
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/BatchingEngine.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/BatchingEngine.java
@@ -29,7 +29,7 @@
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int DEFAULT_MAX_TOKENS = 16;
   private static final int PREFIX_CHARS = 256;
-  private static final double SHARED_PROMPT_SHARE = 0.9;
+  private static final double CACHED_SHARE_ON_HIT = 0.9;
 
   private final Vertx vertx;
   private final RunnerSpec spec;
@@ -51,7 +51,7 @@
     final String model;
     final int maxTokens;
     final StringBuilder text = new StringBuilder();
-    long prefillMicros;
+    long pendingPrefillMicros;
     int emitted;
 
     Sequence(HttpServerRequest request, JsonNode body, long prefillMicros) {
@@ -61,7 +61,7 @@
       this.tag = id == null ? "untagged" : id;
       this.model = body.path("model").asText("");
       this.maxTokens = body.path("max_tokens").asInt(DEFAULT_MAX_TOKENS);
-      this.prefillMicros = prefillMicros;
+      this.pendingPrefillMicros = prefillMicros;
     }
 
     boolean finished() {
@@ -94,7 +94,7 @@
     String prefix = prompt.substring(0, Math.min(PREFIX_CHARS, prompt.length()));
     boolean hit = cache.lookupAndAdd(prefix, System.nanoTime());
     (hit ? cacheHits : cacheMisses).incrementAndGet();
-    int cachedChars = hit ? (int) (prompt.length() * SHARED_PROMPT_SHARE) : 0;
+    int cachedChars = hit ? (int) (prompt.length() * CACHED_SHARE_ON_HIT) : 0;
     Sequence sequence =
         new Sequence(request, root, spec.timing().prefillMicros(prompt.length(), cachedChars));
     request.response().putHeader("X-Prefix-Cache", hit ? "hit" : "miss");
@@ -104,7 +104,7 @@
     inFlight.incrementAndGet();
     request.connection().closeHandler(v -> sequence.emitted = sequence.maxTokens);
     waiting.add(sequence);
-    schedule();
+    scheduleStep();
   }
 
   /** Returns the counters of busy time in microseconds, cache hits and cache misses. */
@@ -118,10 +118,10 @@
 
   /** Returns the hashes of the cached prefixes according to the cache events reported so far. */
   Set<String> reportedPrefixes() {
-    return cache.reported(System.nanoTime());
+    return cache.reportedHashes(System.nanoTime());
   }
 
-  private void schedule() {
+  private void scheduleStep() {
     if (stepScheduled) {
       return;
     }
@@ -132,7 +132,7 @@
       return;
     }
     stepScheduled = true;
-    long micros = spec.timing().stepMicros(running.size()) + readPrompts();
+    long micros = spec.timing().stepMicros(running.size()) + prefillPendingPrompts();
     busyMicros.addAndGet(micros);
     stepDueNanos = Math.max(stepDueNanos, System.nanoTime()) + micros * 1000;
     long waitMillis = (stepDueNanos - System.nanoTime()) / 1_000_000;
@@ -140,22 +140,22 @@
   }
 
   /** Prefills one chunk of the oldest pending prompts and returns its duration in microseconds. */
-  private long readPrompts() {
+  private long prefillPendingPrompts() {
     long chunkMicros = spec.timing().maxChunk().toNanos() / 1000;
-    long left = chunkMicros;
+    long remainingMicros = chunkMicros;
     for (Sequence s : running) {
-      long spent = Math.min(left, s.prefillMicros);
-      s.prefillMicros -= spent;
-      left -= spent;
+      long spentMicros = Math.min(remainingMicros, s.pendingPrefillMicros);
+      s.pendingPrefillMicros -= spentMicros;
+      remainingMicros -= spentMicros;
     }
-    return chunkMicros - left;
+    return chunkMicros - remainingMicros;
   }
 
   private void step() {
     stepScheduled = false;
     for (Iterator<Sequence> it = running.iterator(); it.hasNext(); ) {
       Sequence s = it.next();
-      if (s.prefillMicros > 0) {
+      if (s.pendingPrefillMicros > 0) {
         continue;
       }
       if (s.finished()) {
@@ -165,7 +165,7 @@
         emit(s);
       }
     }
-    schedule();
+    scheduleStep();
   }
 
   private static void emit(Sequence s) {
@@ -186,24 +186,24 @@
       s.response.end("data: [DONE]\n\n");
       return;
     }
-    ObjectNode reply = JSON.createObjectNode();
-    reply.put("id", "chatcmpl-" + s.tag);
-    reply.put("object", "chat.completion");
-    reply.put("model", s.model);
-    ObjectNode choice = reply.putArray("choices").addObject();
+    ObjectNode body = JSON.createObjectNode();
+    body.put("id", "chatcmpl-" + s.tag);
+    body.put("object", "chat.completion");
+    body.put("model", s.model);
+    ObjectNode choice = body.putArray("choices").addObject();
     choice.put("index", 0);
     choice.putObject("message").put("role", "assistant").put("content", s.text.toString());
     choice.put("finish_reason", "stop");
-    reply.putObject("usage").put("completion_tokens", s.emitted);
-    s.response.putHeader("Content-Type", "application/json").end(reply.toString());
+    body.putObject("usage").put("completion_tokens", s.emitted);
+    s.response.putHeader("Content-Type", "application/json").end(body.toString());
   }
 
   private static String chunk(Sequence s, String token) {
-    ObjectNode c = JSON.createObjectNode();
-    c.put("id", "chatcmpl-" + s.tag);
-    c.put("object", "chat.completion.chunk");
-    c.put("model", s.model);
-    c.putArray("choices").addObject().put("index", 0).putObject("delta").put("content", token);
-    return c.toString();
+    ObjectNode body = JSON.createObjectNode();
+    body.put("id", "chatcmpl-" + s.tag);
+    body.put("object", "chat.completion.chunk");
+    body.put("model", s.model);
+    body.putArray("choices").addObject().put("index", 0).putObject("delta").put("content", token);
+    return body.toString();
   }
 }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/PrefixCache.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/PrefixCache.java
@@ -15,13 +15,13 @@
  * of an engine. Cache events are reported with a lag, and a share of them is never reported.
  */
 final class PrefixCache {
-  private static final double LOST_EVENTS = 0.1;
+  private static final double EVENT_LOSS_PROBABILITY = 0.1;
 
   private record Event(long atNanos, String hash, boolean added) {}
 
   private final Map<String, Boolean> entries = new LinkedHashMap<>(16, 0.75f, true);
   private final Deque<Event> unreported = new ArrayDeque<>();
-  private final Set<String> reported = new HashSet<>();
+  private final Set<String> reportedHashes = new HashSet<>();
   private final Random random = new Random(1);
   private final int capacity;
   private final long lagNanos;
@@ -37,32 +37,32 @@
     boolean hit = entries.containsKey(hash);
     entries.put(hash, Boolean.TRUE);
     if (!hit) {
-      note(new Event(nowNanos, hash, true));
+      enqueueEvent(new Event(nowNanos, hash, true));
     }
     if (entries.size() > capacity) {
       Iterator<String> eldest = entries.keySet().iterator();
-      note(new Event(nowNanos, eldest.next(), false));
+      enqueueEvent(new Event(nowNanos, eldest.next(), false));
       eldest.remove();
     }
     return hit;
   }
 
-  private void note(Event event) {
-    if (random.nextDouble() >= LOST_EVENTS) {
+  private void enqueueEvent(Event event) {
+    if (random.nextDouble() >= EVENT_LOSS_PROBABILITY) {
       unreported.add(event);
     }
   }
 
   /** Returns the hashes that are cached according to the events older than the reporting lag. */
-  Set<String> reported(long nowNanos) {
+  Set<String> reportedHashes(long nowNanos) {
     while (!unreported.isEmpty() && unreported.peek().atNanos() + lagNanos <= nowNanos) {
       Event event = unreported.poll();
       if (event.added()) {
-        reported.add(event.hash());
+        reportedHashes.add(event.hash());
       } else {
-        reported.remove(event.hash());
+        reportedHashes.remove(event.hash());
       }
     }
-    return Set.copyOf(reported);
+    return Set.copyOf(reportedHashes);
   }
 }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/StandinRunner.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/StandinRunner.java
@@ -31,9 +31,9 @@
  */
 public final class StandinRunner implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final long SERVICE_MILLIS = 3;
-  private static final long LINGER_MILLIS = 1_000;
-  private static final long DRAIN_WAIT_MILLIS = 20_000;
+  private static final long ORDER_DURATION_MILLIS = 3;
+  private static final long MIN_DRAIN_MILLIS = 1_000;
+  private static final long MAX_DRAIN_MILLIS = 20_000;
 
   private final RunnerSpec spec;
   private final Vertx vertx;
@@ -43,9 +43,9 @@
   private final AtomicLong highestFencingToken = new AtomicLong();
   private final Map<String, AtomicInteger> runsByKey = new ConcurrentHashMap<>();
   private final AtomicLong runs = new AtomicLong();
-  private final AtomicLong sequence = new AtomicLong(System.currentTimeMillis());
+  private final AtomicLong announcementSequence = new AtomicLong(System.currentTimeMillis());
   private final Deque<long[]> loadHistory = new ArrayDeque<>();
-  private final StatedConditions conditions = new StatedConditions();
+  private final AdvertisedConditions conditions = new AdvertisedConditions();
   private volatile boolean draining;
   private HttpServer server;
   private int port;
@@ -96,11 +96,11 @@
       request.response().putHeader("X-Request-Id", requestId);
     }
     if (request.method() == HttpMethod.GET && path.equals("/v1/runs")) {
-      ObjectNode reply = JSON.createObjectNode();
-      reply.put("runs", runs.get());
-      ObjectNode byKey = reply.putObject("byKey");
+      ObjectNode json = JSON.createObjectNode();
+      json.put("runs", runs.get());
+      ObjectNode byKey = json.putObject("byKey");
       runsByKey.forEach((k, v) -> byKey.put(k, v.get()));
-      request.response().putHeader("Content-Type", "application/json").end(reply.toString());
+      request.response().putHeader("Content-Type", "application/json").end(json.toString());
       return;
     }
     if (request.method() == HttpMethod.GET && path.equals("/v1/stats")) {
@@ -118,16 +118,16 @@
                 setConditions(request, body);
                 return;
               }
-              conditions.state(request.response(), draining);
-              if (conditions.turnsAway(request.response())) {
+              conditions.addHeaders(request.response(), draining);
+              if (conditions.rejectIfPaused(request.response())) {
                 return;
               }
               if (path.equals("/v1/chat/completions") && spec.kind() == EndpointKind.ENGINE) {
                 engine.serve(request, body);
               } else if (path.startsWith("/v1/orders") && spec.kind() == EndpointKind.SERVICE) {
-                order(request, body);
+                serveOrder(request, body);
               } else if (path.equals("/v1/admin/load-model")) {
-                loadModel(request);
+                serveLoadModel(request);
               } else {
                 request.response().setStatusCode(404).end();
               }
@@ -145,29 +145,29 @@
     }
   }
 
-  private void order(HttpServerRequest request, Buffer body) {
+  private void serveOrder(HttpServerRequest request, Buffer body) {
     inFlight.incrementAndGet();
     String key = request.getHeader("Idempotency-Key");
-    long n = runs.incrementAndGet();
+    long orderNumber = runs.incrementAndGet();
     if (key != null) {
       runsByKey.computeIfAbsent(key, k -> new AtomicInteger()).incrementAndGet();
     }
     vertx.setTimer(
-        SERVICE_MILLIS,
+        ORDER_DURATION_MILLIS,
         id -> {
           inFlight.decrementAndGet();
-          ObjectNode reply = JSON.createObjectNode();
-          reply.put("order", n);
-          reply.put("service", spec.models().get(0));
-          reply.put("runner", spec.id());
+          ObjectNode json = JSON.createObjectNode();
+          json.put("order", orderNumber);
+          json.put("service", spec.models().get(0));
+          json.put("runner", spec.id());
           if (key != null) {
-            reply.put("idempotencyKey", key);
+            json.put("idempotencyKey", key);
           }
-          request.response().putHeader("Content-Type", "application/json").end(reply.toString());
+          request.response().putHeader("Content-Type", "application/json").end(json.toString());
         });
   }
 
-  private void loadModel(HttpServerRequest request) {
+  private void serveLoadModel(HttpServerRequest request) {
     String header = request.getHeader("X-Fencing-Token");
     long token = header == null ? 0 : Long.parseLong(header);
     if (spec.checksFencing() && token < highestFencingToken.get()) {
@@ -208,7 +208,7 @@
     if (spec.kind() == EndpointKind.ENGINE) {
       body.set("cachedPrefixes", JSON.valueToTree(engine.reportedPrefixes()));
     }
-    body.put("sequence", sequence.incrementAndGet());
+    body.put("sequence", announcementSequence.incrementAndGet());
     Buffer payload = Buffer.buffer(body.toString());
     for (String gateway : spec.gateways()) {
       client
@@ -224,17 +224,18 @@
   }
 
   /**
-   * Announces draining and shuts down. Requests are accepted for {@link #LINGER_MILLIS}, and longer
-   * while requests are in flight, at most {@link #DRAIN_WAIT_MILLIS}.
+   * Announces draining and shuts down. Requests are accepted for {@link #MIN_DRAIN_MILLIS}, and
+   * longer while requests are in flight, at most {@link #MAX_DRAIN_MILLIS}.
    */
   @Override
   public void close() throws Exception {
     draining = true;
     vertx.cancelTimer(announceTimer);
     announce();
-    long lingerUntil = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LINGER_MILLIS);
-    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(DRAIN_WAIT_MILLIS);
-    while (System.nanoTime() < lingerUntil || inFlight.get() > 0 && System.nanoTime() < deadline) {
+    long earliestStopNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MIN_DRAIN_MILLIS);
+    long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_DRAIN_MILLIS);
+    while (System.nanoTime() < earliestStopNanos
+        || inFlight.get() > 0 && System.nanoTime() < deadlineNanos) {
       TimeUnit.MILLISECONDS.sleep(10);
     }
     server.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
--- a/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/DeploymentEndToEndTest.java
+++ b/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/DeploymentEndToEndTest.java
@@ -33,7 +33,7 @@
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class DeploymentEndToEndTest {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final int ORDERS = 150;
+  private static final int ORDER_COUNT = 150;
   private LocalDeployment deployment;
   private final HttpClient http =
       HttpClient.newBuilder()
@@ -73,19 +73,21 @@
   void runsEachNonIdempotentOrderAtMostOnce() throws Exception {
     String first = deployment.entries().get("uusimaa-entry-1");
     String second = deployment.entries().get("uusimaa-entry-2");
-    Map<String, List<CompletableFuture<HttpResponse<String>>>> answers = new HashMap<>();
-    for (int i = 0; i < ORDERS; i++) {
+    Map<String, List<CompletableFuture<HttpResponse<String>>>> responses = new HashMap<>();
+    for (int i = 0; i < ORDER_COUNT; i++) {
       String key = "order-" + i;
-      answers.put(key, new ArrayList<>(List.of(order(first, key), order(second, key))));
+      responses.put(key, new ArrayList<>(List.of(sendOrder(first, key), sendOrder(second, key))));
     }
-    for (Map.Entry<String, List<CompletableFuture<HttpResponse<String>>>> e : answers.entrySet()) {
+    for (Map.Entry<String, List<CompletableFuture<HttpResponse<String>>>> e :
+        responses.entrySet()) {
       for (CompletableFuture<HttpResponse<String>> f : e.getValue()) {
         f.get(30, TimeUnit.SECONDS);
       }
-      e.getValue().add(order(first, e.getKey()));
+      e.getValue().add(sendOrder(first, e.getKey()));
     }
     Map<String, List<String>> orderNumbers = new HashMap<>();
-    for (Map.Entry<String, List<CompletableFuture<HttpResponse<String>>>> e : answers.entrySet()) {
+    for (Map.Entry<String, List<CompletableFuture<HttpResponse<String>>>> e :
+        responses.entrySet()) {
       for (CompletableFuture<HttpResponse<String>> f : e.getValue()) {
         HttpResponse<String> r = f.get(30, TimeUnit.SECONDS);
         if (r.statusCode() == 200) {
@@ -102,13 +104,13 @@
             .toList();
     Map<String, Integer> runs = runsByKey(desks);
     assertThat(runs.values(), everyItem(lessThanOrEqualTo(1)));
-    assertThat(runs.size(), is(ORDERS));
+    assertThat(runs.size(), is(ORDER_COUNT));
     for (List<String> numbers : orderNumbers.values()) {
       assertThat(numbers.stream().distinct().count(), is(1L));
     }
   }
 
-  private CompletableFuture<HttpResponse<String>> order(String entry, String key) {
+  private CompletableFuture<HttpResponse<String>> sendOrder(String entry, String key) {
     HttpRequest request =
         HttpRequest.newBuilder(URI.create(entry + "/v1/services/desk/v1/orders"))
             .timeout(Duration.ofSeconds(20))
--- a/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/FaultEndToEndTest.java
+++ b/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/FaultEndToEndTest.java
@@ -32,12 +32,12 @@
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class FaultEndToEndTest {
-  private static final String HOME = "uusimaa";
-  private static final Optional<String> HOME_ONLY = Optional.of(HOME);
-  private static final String AWAY = "pirkanmaa";
+  private static final String HOME_REGION = "uusimaa";
+  private static final Optional<String> HOME_ONLY = Optional.of(HOME_REGION);
+  private static final String OTHER_REGION = "pirkanmaa";
   private static final long SHORT_FREEZE_MILLIS = 1_500;
   private static final long LONG_FREEZE_MILLIS = 6_000;
-  private static final int LEAVING_BOUND_MILLIS = 5_000;
+  private static final int MAX_DRAIN_PROPAGATION_MILLIS = 5_000;
   private LocalDeployment deployment;
 
   @BeforeAll
@@ -63,47 +63,47 @@
     return r.region() + "-entry-1";
   }
 
-  private void cut(String region, boolean cutOff) throws Exception {
+  private void setPartitioned(String region, boolean partitioned) throws Exception {
     Set<String> others =
         Set.copyOf(DemoDeployment.REGIONS.stream().filter(r -> !r.equals(region)).toList());
     for (Map.Entry<String, String> node : deployment.regionsByNode().entrySet()) {
       Set<String> cut = node.getValue().equals(region) ? others : Set.of(region);
-      deployment.injectFaults(node.getKey(), cutOff ? cut : Set.of(), 0);
+      deployment.injectFaults(node.getKey(), partitioned ? cut : Set.of(), 0);
     }
   }
 
   @Test
-  void regionCutOffServesItsOwnCallersOnTheConfigurationItHas() throws Exception {
-    String cutEntry = deployment.urlOf(AWAY + "-entry-1");
+  void partitionedRegionServesItsCallersWithItsLastConfiguration() throws Exception {
+    String cutEntry = deployment.urlOf(OTHER_REGION + "-entry-1");
     final long before = deployment.client().configVersion(cutEntry);
     List<TraceRequest> own =
-        DemoDeployment.trace().stream().filter(r -> r.region().equals(AWAY)).toList();
-    cut(AWAY, true);
+        DemoDeployment.trace().stream().filter(r -> r.region().equals(OTHER_REGION)).toList();
+    setPartitioned(OTHER_REGION, true);
     final long changed =
         deployment.applyConfig(DemoDeployment.resource("demo/selectors.yaml") + "# changed\n");
     ReplayResult duringCut = replay(own, FaultEndToEndTest::firstEntryOf);
     assertThat(duringCut.report("cut off"), duringCut.outcome("served"), is(own.size()));
-    assertThat(duringCut.servedByRegion.get(AWAY), is(own.size()));
+    assertThat(duringCut.servedByRegion.get(OTHER_REGION), is(own.size()));
     assertThat(deployment.client().configVersion(cutEntry), is(before));
-    cut(AWAY, false);
+    setPartitioned(OTHER_REGION, false);
     LocalDeployment.awaitCondition(
         "the region applies the change after it is reconnected",
         () -> deployment.client().configVersion(cutEntry) == changed);
   }
 
   @Test
-  void requestsBoundToTheirHomeAreRefusedWhenItHasNoCapacity() throws Exception {
-    String writers = "writers-" + HOME;
+  void requestsWithHomeResidencyAreRefusedWhenTheRegionHasNoCapacity() throws Exception {
+    String writers = "writers-" + HOME_REGION;
     deployment.terminate(writers);
     List<TraceRequest> trace = DemoDeployment.trace();
     final ReplayResult result = replay(trace, FaultEndToEndTest::firstEntryOf);
     deployment.restart(writers);
-    deployment.awaitEndpoints(HOME + "-entry-1");
-    deployment.awaitEndpoints(HOME + "-entry-2");
-    long bound = trace.stream().filter(r -> r.residency().equals(HOME_ONLY)).count();
+    deployment.awaitEndpoints(HOME_REGION + "-entry-1");
+    deployment.awaitEndpoints(HOME_REGION + "-entry-2");
+    long homeOnlyCount = trace.stream().filter(r -> r.residency().equals(HOME_ONLY)).count();
     assertThat(result.report("no capacity"), result.outsideResidency, is(0));
-    assertThat(result.outcome("not_run"), is((int) bound));
-    assertThat(result.outcome("served"), is(trace.size() - (int) bound));
+    assertThat(result.outcome("not_run"), is((int) homeOnlyCount));
+    assertThat(result.outcome("served"), is(trace.size() - (int) homeOnlyCount));
     assertThat(result.crossRegion, is(greaterThan(0)));
     assertThat(result.corrupted, is(0));
   }
@@ -124,13 +124,13 @@
   @ParameterizedTest
   @MethodSource("entryFaults")
   void ordersRunAtMostOnceWhenAnEntryIs(EntryFault fault) throws Exception {
-    List<String> entries = List.of(HOME + "-entry-1", HOME + "-entry-2");
+    List<String> entries = List.of(HOME_REGION + "-entry-1", HOME_REGION + "-entry-2");
     final OrderLoad load = new OrderLoad(deployment, entries, desks(), fault.name());
     CompletableFuture<Void> sending = load.start();
-    befall(entries.get(0), fault);
+    inject(entries.get(0), fault);
     load.finish(sending);
     assertThat(load.summary(), load.runsByKey().values(), everyItem(lessThanOrEqualTo(1)));
-    assertThat(load.summary(), load.keysAnsweredTwoWays(), is(empty()));
+    assertThat(load.summary(), load.keysWithDifferentOrders(), is(empty()));
     assertThat(load.summary(), load.servedKeysNotRun(), is(empty()));
     assertThat(load.summary(), load.refusedKeysThatRan(), is(empty()));
     assertThat(load.summary(), load.served(), is(greaterThan(0)));
@@ -146,7 +146,7 @@
         .toList();
   }
 
-  private void befall(String entry, EntryFault fault) throws Exception {
+  private void inject(String entry, EntryFault fault) throws Exception {
     switch (fault) {
       case KILLED -> {
         deployment.kill(entry);
@@ -169,7 +169,7 @@
 
   private void freeze(String entry, long millis) throws Exception {
     deployment.pause(entry);
-    OrderLoad.pause(millis);
+    OrderLoad.sleep(millis);
     deployment.resume(entry);
   }
 
@@ -179,11 +179,11 @@
    */
   @ParameterizedTest
   @MethodSource("plannedStops")
-  void plannedStopCutsNoRequest(String process) throws Exception {
+  void gracefulStopInterruptsNoRequest(String process) throws Exception {
     List<TraceRequest> trace = TraceRequest.scaled(DemoDeployment.trace(), 3, 1.5);
     final CompletableFuture<ReplayResult> load =
-        CompletableFuture.supplyAsync(() -> quietly(() -> replay(trace, r -> entryFor(r))));
-    OrderLoad.pause(1_000);
+        CompletableFuture.supplyAsync(() -> unchecked(() -> replay(trace, r -> entryFor(r))));
+    OrderLoad.sleep(1_000);
     deployment.terminate(process);
     deployment.restart(process);
     ReplayResult result = load.get();
@@ -191,8 +191,9 @@
       deployment.awaitEndpoints(entry);
     }
     System.out.println("stopped " + process + ": " + result.outcomes);
-    Set<String> honest = Set.of("served", "shutting_down", "not_run", "unreachable");
-    assertThat(result.report(process), result.outcomes.keySet(), everyItem(is(in(honest))));
+    Set<String> expectedOutcomes = Set.of("served", "shutting_down", "not_run", "unreachable");
+    assertThat(
+        result.report(process), result.outcomes.keySet(), everyItem(is(in(expectedOutcomes))));
     assertThat(result.report(process), result.corrupted, is(0));
   }
 
@@ -201,14 +202,14 @@
   }
 
   static Stream<String> plannedStops() {
-    return Stream.of(AWAY + "-entry-1", "writers-" + AWAY, "control-1");
+    return Stream.of(OTHER_REGION + "-entry-1", "writers-" + OTHER_REGION, "control-1");
   }
 
   private interface Action<T> {
     T run() throws Exception;
   }
 
-  private static <T> T quietly(Action<T> action) {
+  private static <T> T unchecked(Action<T> action) {
     try {
       return action.run();
     } catch (Exception e) {
@@ -218,25 +219,26 @@
 
   /** The bound is specified in docs/INVARIANTS.md. The measured time is printed. */
   @Test
-  void leavingEndpointIsKnownToEveryEntryOfItsRegion() throws Exception {
-    String writers = "writers-" + AWAY;
+  void drainingEndpointIsReportedByEveryEntryOfItsRegion() throws Exception {
+    String writers = "writers-" + OTHER_REGION;
     CompletableFuture<Integer> stopping =
-        CompletableFuture.supplyAsync(() -> quietly(() -> deployment.terminate(writers)));
+        CompletableFuture.supplyAsync(() -> unchecked(() -> deployment.terminate(writers)));
     final long startNanos = System.nanoTime();
-    for (String entry : List.of(AWAY + "-entry-1", AWAY + "-entry-2")) {
+    for (String entry : List.of(OTHER_REGION + "-entry-1", OTHER_REGION + "-entry-2")) {
       LocalDeployment.awaitCondition(
-          entry + " sends no new requests to " + writers, () -> quietly(() -> acceptsNone(entry)));
+          entry + " sends no new requests to " + writers,
+          () -> unchecked(() -> reportsAllDraining(entry)));
     }
     long millis = (System.nanoTime() - startNanos) / 1_000_000;
     System.out.println("draining endpoints reported by all entries after " + millis + " ms");
     stopping.get();
     deployment.restart(writers);
-    deployment.awaitEndpoints(AWAY + "-entry-1");
-    deployment.awaitEndpoints(AWAY + "-entry-2");
-    assertThat(millis, is(lessThan((long) LEAVING_BOUND_MILLIS)));
+    deployment.awaitEndpoints(OTHER_REGION + "-entry-1");
+    deployment.awaitEndpoints(OTHER_REGION + "-entry-2");
+    assertThat(millis, is(lessThan((long) MAX_DRAIN_PROPAGATION_MILLIS)));
   }
 
-  private boolean acceptsNone(String entry) throws Exception {
+  private boolean reportsAllDraining(String entry) throws Exception {
     for (JsonNode e : deployment.endpoints(entry)) {
       if (e.path("id").asText().startsWith("writers-") && !e.path("draining").asBoolean()) {
         return false;
--- a/lacewingcroft-standins/src/test/java/org/lacewingcroft/standin/StandinConditionsTest.java
+++ b/lacewingcroft-standins/src/test/java/org/lacewingcroft/standin/StandinConditionsTest.java
@@ -76,13 +76,14 @@
         "[]; 400; 200; ; ",
         "no JSON; 400; 200; ; "
       })
-  void statesWhatItIsToldTo(
-      String order, int orderStatus, int status, String rate, String retryAfter) throws Exception {
+  void advertisesConfiguredConditions(
+      String conditions, int conditionsStatus, int status, String rate, String retryAfter)
+      throws Exception {
     post("/v1/admin/conditions", "{}");
-    assertThat(post("/v1/admin/conditions", order).statusCode(), is(orderStatus));
-    HttpResponse<String> answer = post("/v1/orders", "{}");
-    assertThat(answer.statusCode(), is(status));
-    assertThat(answer.headers().firstValue("Server-Limit"), is(Optional.ofNullable(rate)));
-    assertThat(answer.headers().firstValue("Retry-After"), is(Optional.ofNullable(retryAfter)));
+    assertThat(post("/v1/admin/conditions", conditions).statusCode(), is(conditionsStatus));
+    HttpResponse<String> response = post("/v1/orders", "{}");
+    assertThat(response.statusCode(), is(status));
+    assertThat(response.headers().firstValue("Server-Limit"), is(Optional.ofNullable(rate)));
+    assertThat(response.headers().firstValue("Retry-After"), is(Optional.ofNullable(retryAfter)));
   }
 }
