--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/ApplyCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/ApplyCommand.java
@@ -62,14 +62,14 @@
               ? expectedVersion
               : Long.parseLong(http.get(server + "/v1/config").headers().get("X-Config-Version"));
       String id = changeId != null ? changeId : UUID.randomUUID().toString();
-      BlockingHttpClient.Response reply =
+      BlockingHttpClient.Response response =
           http.send(
               patch ? HttpMethod.PATCH : HttpMethod.PUT,
               server + "/v1/config",
               Map.of("X-Change-Id", id, "X-Expected-Version", Long.toString(expected)),
               document);
-      System.out.println(reply.body());
-      return reply.status() == 200 ? 0 : 1;
+      System.out.println(response.body());
+      return response.status() == 200 ? 0 : 1;
     }
   }
 }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/BlockingHttpClient.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/BlockingHttpClient.java
@@ -31,8 +31,8 @@
     var future = body == null ? request.send() : request.sendBuffer(Buffer.buffer(body));
     HttpResponse<Buffer> response =
         future.toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-    String text = response.body() == null ? "" : response.bodyAsString();
-    return new Response(response.statusCode(), text, response.headers());
+    String bodyText = response.body() == null ? "" : response.bodyAsString();
+    return new Response(response.statusCode(), bodyText, response.headers());
   }
 
   Response get(String url) throws Exception {
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/EndpointsCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/EndpointsCommand.java
@@ -13,9 +13,9 @@
   @Override
   public Integer call() throws Exception {
     try (BlockingHttpClient http = new BlockingHttpClient()) {
-      BlockingHttpClient.Response reply = http.get(server + "/v1/endpoints");
-      System.out.println(reply.body());
-      return reply.status() == 200 ? 0 : 1;
+      BlockingHttpClient.Response response = http.get(server + "/v1/endpoints");
+      System.out.println(response.body());
+      return response.status() == 200 ? 0 : 1;
     }
   }
 }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/GetCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/GetCommand.java
@@ -21,10 +21,10 @@
       return 2;
     }
     try (BlockingHttpClient http = new BlockingHttpClient()) {
-      BlockingHttpClient.Response reply = http.get(server + "/v1/config");
-      System.out.println("# version " + reply.headers().get("X-Config-Version"));
-      System.out.print(reply.body());
-      return reply.status() == 200 ? 0 : 1;
+      BlockingHttpClient.Response response = http.get(server + "/v1/config");
+      System.out.println("# version " + response.headers().get("X-Config-Version"));
+      System.out.print(response.body());
+      return response.status() == 200 ? 0 : 1;
     }
   }
 }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/LoadBenchCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/LoadBenchCommand.java
@@ -51,7 +51,7 @@
       for (int round = 0; round < warmUps; round++) {
         replayer.replay(
             TraceRequest.scaled(base, copies, speedups.get(speedups.size() - 1)),
-            r -> entries.get(r.region() + "-entry-1"));
+            result -> entries.get(result.region() + "-entry-1"));
       }
       long idleStartCpuNanos = deployment.cpuNanos(n -> n.contains("-entry-"));
       long idleStartNanos = System.nanoTime();
@@ -64,22 +64,23 @@
         List<TraceRequest> trace = TraceRequest.scaled(base, copies, speedup);
         long startCpuNanos = deployment.cpuNanos(n -> n.contains("-entry-"));
         long startNanos = System.nanoTime();
-        ReplayResult r = replayer.replay(trace, t -> entries.get(t.region() + "-entry-1"));
+        ReplayResult result = replayer.replay(trace, t -> entries.get(t.region() + "-entry-1"));
         double wallSeconds = (System.nanoTime() - startNanos) / 1e9;
         long cpuNanos = deployment.cpuNanos(n -> n.contains("-entry-")) - startCpuNanos;
         long tokens = trace.stream().mapToLong(TraceRequest::maxTokens).sum();
         ObjectNode line = JSON.createObjectNode();
         line.put("bench", "entry-load");
         line.put("requests", trace.size());
-        line.put("served", r.outcome("served"));
+        line.put("served", result.outcome("served"));
         line.put("requestsPerSecond", trace.size() / wallSeconds);
         double busyNanos = cpuNanos - idleCoresPerEntry * entries.size() * wallSeconds * 1e9;
         line.put("idleCoreSharePerEntry", idleCoresPerEntry);
         line.put("entryCpuMicrosPerRequest", cpuNanos / 1000.0 / trace.size());
         line.put("entryCpuMicrosPerRequestAboveIdle", busyNanos / 1000.0 / trace.size());
         line.put("entryCpuMicrosPerTokenAboveIdle", busyNanos / 1000.0 / tokens);
-        line.put("firstTokenP95Millis", r.firstTokenMicros.getValueAtPercentile(95) / 1000.0);
-        line.put("betweenTokensP95Millis", r.betweenTokensMicros.getValueAtPercentile(95) / 1000.0);
+        line.put("firstTokenP95Millis", result.firstTokenMicros.getValueAtPercentile(95) / 1000.0);
+        line.put(
+            "betweenTokensP95Millis", result.betweenTokensMicros.getValueAtPercentile(95) / 1000.0);
         System.out.println(line);
       }
     }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/QuarantineCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/QuarantineCommand.java
@@ -22,12 +22,12 @@
   public Integer call() throws Exception {
     String path = server + "/v1/quarantine";
     try (BlockingHttpClient http = new BlockingHttpClient()) {
-      BlockingHttpClient.Response reply =
+      BlockingHttpClient.Response response =
           lift.isPresent()
               ? http.send(HttpMethod.DELETE, path + "/" + lift.get(), Map.of(), null)
               : http.get(path);
-      System.out.println(reply.body());
-      return reply.status() == 200 ? 0 : 1;
+      System.out.println(response.body());
+      return response.status() == 200 ? 0 : 1;
     }
   }
 }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/CrashSuspectReport.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/CrashSuspectReport.java
@@ -11,8 +11,8 @@
 
 /**
  * Lists the request contents that were in progress at endpoints whose connections were lost. A
- * content that recurs across several lost endpoints, from the same senders, crashes the endpoints
- * that run it. If no content recurs, the endpoints crashed for another reason.
+ * content that recurs across several of these endpoints, from the same senders, crashes the
+ * endpoints that run it. If no content recurs, the endpoints crashed for another reason.
  */
 public final class CrashSuspectReport {
   private static final int MAX_ROWS = 20;
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/RequestOutcomes.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/RequestOutcomes.java
@@ -54,14 +54,14 @@
         List<LogLine> attempts =
             Optional.ofNullable(attemptLines.remove(handling)).orElse(List.of());
         if (!relayed.remove(handling)) {
-          outcomes.add(outcome(line, attempts));
+          outcomes.add(toOutcome(line, attempts));
         }
       }
       default -> {}
     }
   }
 
-  private static RequestOutcome outcome(LogLine finished, List<LogLine> attempts) {
+  private static RequestOutcome toOutcome(LogLine finished, List<LogLine> attempts) {
     Result result = result(finished);
     return new RequestOutcome(
         finished.text("request"),
@@ -69,7 +69,7 @@
         finished.node(),
         result,
         result == Result.SERVED ? "" : cause(finished, attempts),
-        last(attempts, PLACED).map(t -> t.text("target")).orElse(""),
+        lastWithEvent(attempts, PLACED).map(t -> t.text("target")).orElse(""),
         finished.millis() - finished.number("millis", 0),
         finished.number("firstByteMillis", -1),
         finished.number("millis", 0));
@@ -91,16 +91,16 @@
   private static String cause(LogLine finished, List<LogLine> attempts) {
     String outcome =
         finished.text("outcome").equals(SERVED)
-            ? "answered " + finished.text("status")
+            ? "response status " + finished.text("status")
             : finished.text("outcome");
     boolean streamed = finished.number("lastEvent", -1) >= 0;
     String phase = streamed ? ", in the middle of its response" : "";
-    return last(attempts, ATTEMPT_FAILED)
+    return lastWithEvent(attempts, ATTEMPT_FAILED)
         .map(t -> outcome + phase + ", after a failed attempt: " + t.text("what"))
         .orElse(outcome + phase);
   }
 
-  private static Optional<LogLine> last(List<LogLine> attempts, String event) {
+  private static Optional<LogLine> lastWithEvent(List<LogLine> attempts, String event) {
     return attempts.stream().filter(t -> t.event().equals(event)).reduce((earlier, later) -> later);
   }
 }
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/cli/LogCommandsTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/cli/LogCommandsTest.java
@@ -41,7 +41,7 @@
             SampleLog.line(30, "north-1", "routing.in_force", "version", 3)));
   }
 
-  static Stream<Arguments> stories() {
+  static Stream<Arguments> selections() {
     return Stream.of(
         Arguments.of("--request r-1", 0, 3),
         Arguments.of("--request r-2", 1, 0),
@@ -53,7 +53,7 @@
   }
 
   @ParameterizedTest
-  @MethodSource("stories")
+  @MethodSource("selections")
   void timelinePrintsSelectedLines(String options, int status, int lines) {
     StringWriter out = new StringWriter();
     assertThat(run(out, ("timeline " + options).trim() + " " + log), is(status));
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/ServiceReportTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/ServiceReportTest.java
@@ -16,11 +16,11 @@
 
 /** Tests that each request is counted once, with its result taken from the entries' log lines. */
 class ServiceReportTest {
-  static Stream<Arguments> ends() {
+  static Stream<Arguments> finishedRequests() {
     return Stream.of(
         Arguments.of("served", 200, true, Result.SERVED, ""),
         Arguments.of("served", 404, true, Result.SERVED, ""),
-        Arguments.of("served", 500, true, Result.FAILED, "answered 500"),
+        Arguments.of("served", 500, true, Result.FAILED, "response status 500"),
         Arguments.of(
             "every endpoint is full", 503, false, Result.REFUSED, "every endpoint is full"),
         Arguments.of("every endpoint is full", 503, true, Result.FAILED, "every endpoint is full"),
@@ -29,7 +29,7 @@
   }
 
   @ParameterizedTest
-  @MethodSource("ends")
+  @MethodSource("finishedRequests")
   void classifiesResultAndCause(
       String outcome, int status, boolean mayHaveRun, Result result, String cause) {
     List<RequestOutcome> outcomes =
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/TimelineFilterTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/TimelineFilterTest.java
@@ -28,7 +28,7 @@
           .map(text -> LogFiles.parse(text).orElseThrow())
           .toList();
 
-  static Stream<Arguments> stories() {
+  static Stream<Arguments> selections() {
     return Stream.of(
         selection(
             "a request, with the updates that its entry received",
@@ -50,7 +50,7 @@
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("stories")
+  @MethodSource("selections")
   void selectsLinesOfSubject(
       String name, Function<TimelineFilter, List<LogLine>> selector, List<Integer> expected) {
     List<LogLine> lines = selector.apply(new TimelineFilter(LINES));
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ConfigBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ConfigBench.java
@@ -328,11 +328,11 @@
   private void cutRegion(String region, long fromNanos) throws Exception {
     Map<String, String> regions = deployment.regionsByNode();
     for (Map.Entry<String, String> node : regions.entrySet()) {
-      Set<String> cut =
+      Set<String> cutRegions =
           node.getValue().equals(region)
               ? Set.copyOf(DemoDeployment.REGIONS.stream().filter(r -> !r.equals(region)).toList())
               : Set.of(region);
-      deployment.injectFaults(node.getKey(), cut, options.delayMillis());
+      deployment.injectFaults(node.getKey(), cutRegions, options.delayMillis());
     }
     sleepUninterrupted(2_500);
     for (Map.Entry<String, String> node : regions.entrySet()) {
@@ -371,10 +371,10 @@
         .noneMatch(d -> d.fromNanos() <= untilNanos && fromNanos <= d.untilNanos());
   }
 
-  private boolean report(VersionWatcher watcher, List<String> nodes, long lost) {
+  private boolean report(VersionWatcher watcher, List<String> nodes, long lostChanges) {
     Histogram fromSend = new Histogram(3_600_000L, 3);
     Histogram fromAck = new Histogram(3_600_000L, 3);
-    long excluded = 0;
+    long excludedPairs = 0;
     for (Accepted change : accepted) {
       long everywhereNanos = change.ackedNanos();
       for (String node : nodes) {
@@ -383,7 +383,7 @@
         if (isUndisturbed(node, change.sentNanos(), activeAtNanos)) {
           everywhereNanos = Math.max(everywhereNanos, activeAtNanos);
         } else {
-          excluded++;
+          excludedPairs++;
         }
       }
       fromSend.recordValue((everywhereNanos - change.sentNanos()) / 1_000_000);
@@ -399,14 +399,14 @@
     line.put("conflicts", conflicts);
     line.put("resends", resends);
     line.put("wrongResends", wrongResends);
-    line.put("lost", lost);
+    line.put("lost", lostChanges);
     line.put("reverts", watcher.reverts());
     line.put("inForceFromAckP50Millis", fromAck.getValueAtPercentile(50));
     line.put("inForceFromAckP99Millis", fromAck.getValueAtPercentile(99));
     line.put("inForceFromSendP50Millis", fromSend.getValueAtPercentile(50));
     line.put("inForceFromSendP99Millis", fromSend.getValueAtPercentile(99));
-    line.put("disturbedPairsLeftOut", excluded);
+    line.put("disturbedPairsLeftOut", excludedPairs);
     out.accept(line.toString());
-    return lost == 0 && wrongResends == 0 && watcher.reverts() == 0;
+    return lostChanges == 0 && wrongResends == 0 && watcher.reverts() == 0;
   }
 }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/DemoDeployment.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/DemoDeployment.java
@@ -17,7 +17,7 @@
   /** The regions of the demo deployment. */
   public static final List<String> REGIONS = List.of("uusimaa", "pirkanmaa", "pohjois-pohjanmaa");
 
-  private static final int[] WRITER_RUNNERS = {3, 3, 2};
+  private static final int[] WRITER_RUNNERS_BY_REGION = {3, 3, 2};
 
   private DemoDeployment() {}
 
@@ -31,7 +31,7 @@
               "writers-" + region,
               "engine",
               region,
-              WRITER_RUNNERS[i],
+              WRITER_RUNNERS_BY_REGION[i],
               "writer",
               Map.of("service", "writers", "tier", "standard"),
               8));
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/LocalDeployment.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/LocalDeployment.java
@@ -133,14 +133,14 @@
    * @throws Exception if a process does not start within {@link #START_TIMEOUT}
    */
   public static LocalDeployment start(Topology topology, Path workDir) throws Exception {
-    LocalDeployment d = new LocalDeployment(topology, workDir);
+    LocalDeployment deployment = new LocalDeployment(topology, workDir);
     try {
-      d.startAll();
+      deployment.startAll();
     } catch (Exception e) {
-      d.close();
+      deployment.close();
       throw e;
     }
-    return d;
+    return deployment;
   }
 
   private void startAll() throws Exception {
@@ -238,28 +238,28 @@
     return workDir.resolve(node + "-data");
   }
 
-  private void startStandins(StandinGroup g) throws Exception {
+  private void startStandins(StandinGroup group) throws Exception {
     List<String> gateways =
         entryUrlByNode.entrySet().stream()
-            .filter(e -> entryRegionByNode.get(e.getKey()).equals(g.region()))
+            .filter(e -> entryRegionByNode.get(e.getKey()).equals(group.region()))
             .map(Map.Entry::getValue)
             .toList();
     List<String> args = new ArrayList<>();
     args.addAll(
         List.of(
-            "--kind", g.kind(),
-            "--id-prefix", g.idPrefix(),
-            "--runners", Integer.toString(g.runners()),
-            "--region", g.region(),
-            "--failure-domain", g.region() + "-a",
+            "--kind", group.kind(),
+            "--id-prefix", group.idPrefix(),
+            "--runners", Integer.toString(group.runners()),
+            "--region", group.region(),
+            "--failure-domain", group.region() + "-a",
             "--announce", String.join(",", gateways),
-            "--model", g.model(),
-            "--capacity", Integer.toString(g.capacity()),
-            "--port-file", workDir.resolve(g.idPrefix() + ".ports").toString()));
-    args.addAll(g.extraArgs());
-    g.labels().forEach((k, v) -> args.addAll(List.of("--label", k + "=" + v)));
-    launch(g.idPrefix(), STANDIN_MAIN, args);
-    recordStandinUrls(g.idPrefix(), awaitPorts(g.idPrefix()));
+            "--model", group.model(),
+            "--capacity", Integer.toString(group.capacity()),
+            "--port-file", workDir.resolve(group.idPrefix() + ".ports").toString()));
+    args.addAll(group.extraArgs());
+    group.labels().forEach((k, v) -> args.addAll(List.of("--label", k + "=" + v)));
+    launch(group.idPrefix(), STANDIN_MAIN, args);
+    recordStandinUrls(group.idPrefix(), awaitPorts(group.idPrefix()));
   }
 
   private void recordStandinUrls(String group, JsonNode ports) {
@@ -458,8 +458,8 @@
         processes.values().stream().filter(p -> !p.stopped()).toList();
     List<DeploymentProcess> controls =
         running.stream().filter(p -> controlUrlByNode.containsKey(p.name())).toList();
-    List<DeploymentProcess> rest = running.stream().filter(p -> !controls.contains(p)).toList();
-    List<String> failures = new ArrayList<>(stopAll(rest));
+    List<DeploymentProcess> others = running.stream().filter(p -> !controls.contains(p)).toList();
+    List<String> failures = new ArrayList<>(stopAll(others));
     failures.addAll(stopAll(controls));
     processes.clear();
     return failures;
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/PolicyBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/PolicyBench.java
@@ -20,9 +20,9 @@
  */
 public final class PolicyBench {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final int CAPACITY = 8;
+  private static final int RUNNER_CAPACITY = 8;
   private static final int CACHED_PREFIXES = 24;
-  private static final int[] RUNNERS = {4, 3, 2};
+  private static final int[] RUNNERS_BY_REGION = {4, 3, 2};
   private static final String LOST_GROUP_SUFFIX = "-lost";
 
   private final Options options;
@@ -63,10 +63,10 @@
     List<LocalDeployment.StandinGroup> groups = new ArrayList<>();
     for (int i = 0; i < DemoDeployment.REGIONS.size(); i++) {
       String region = DemoDeployment.REGIONS.get(i);
-      int lost = i == 0 ? RUNNERS[0] - 1 : 0;
-      groups.add(engines("writers-" + region, region, RUNNERS[i] - lost));
-      if (lost > 0) {
-        groups.add(engines("writers-" + region + LOST_GROUP_SUFFIX, region, lost));
+      int lostRunners = i == 0 ? RUNNERS_BY_REGION[0] - 1 : 0;
+      groups.add(engines("writers-" + region, region, RUNNERS_BY_REGION[i] - lostRunners));
+      if (lostRunners > 0) {
+        groups.add(engines("writers-" + region + LOST_GROUP_SUFFIX, region, lostRunners));
       }
     }
     return new LocalDeployment.Topology(
@@ -87,7 +87,7 @@
         runners,
         "writer",
         Map.of("service", "writers", "tier", "standard"),
-        CAPACITY,
+        RUNNER_CAPACITY,
         List.of("--prefix-cache", Integer.toString(CACHED_PREFIXES)));
   }
 
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ReplayResult.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ReplayResult.java
@@ -88,26 +88,26 @@
 
   /** Returns a human-readable report under the given title. */
   public synchronized String report(String title) {
-    StringBuilder b = new StringBuilder();
-    b.append(title).append('\n');
-    b.append("  outcomes: ").append(outcomes).append('\n');
-    b.append("  served by region: ").append(servedByRegion).append('\n');
-    b.append("  callers by region: ").append(callersByRegion).append('\n');
-    b.append(String.format("  cross-region share: %.3f%n", crossRegionShare()));
-    b.append("  corrupted responses: ").append(corrupted).append('\n');
-    b.append("  served outside residency: ").append(outsideResidency).append('\n');
-    b.append(
+    StringBuilder text = new StringBuilder();
+    text.append(title).append('\n');
+    text.append("  outcomes: ").append(outcomes).append('\n');
+    text.append("  served by region: ").append(servedByRegion).append('\n');
+    text.append("  callers by region: ").append(callersByRegion).append('\n');
+    text.append(String.format("  cross-region share: %.3f%n", crossRegionShare()));
+    text.append("  corrupted responses: ").append(corrupted).append('\n');
+    text.append("  served outside residency: ").append(outsideResidency).append('\n');
+    text.append(
         String.format(
             "  first token ms: p50 %.2f p95 %.2f p99 %.2f%n",
             firstTokenMicros.getValueAtPercentile(50) / 1000.0,
             firstTokenMicros.getValueAtPercentile(95) / 1000.0,
             firstTokenMicros.getValueAtPercentile(99) / 1000.0));
-    b.append(
+    text.append(
         String.format(
             "  between tokens ms: p50 %.2f p95 %.2f p99 %.2f%n",
             betweenTokensMicros.getValueAtPercentile(50) / 1000.0,
             betweenTokensMicros.getValueAtPercentile(95) / 1000.0,
             betweenTokensMicros.getValueAtPercentile(99) / 1000.0));
-    return b.toString();
+    return text.toString();
   }
 }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
@@ -211,7 +211,7 @@
             t.listen(
                     "127.0.0.1",
                     0,
-                    (stamp, m) -> {
+                    (timestamp, m) -> {
                       if (m instanceof PeerMessage.Gossip g && holder[0] != null) {
                         holder[0].onGossip(g, 1);
                       }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/TraceReplayer.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/TraceReplayer.java
@@ -107,8 +107,8 @@
   /** Returns the URL of the highest-ranked entry in a response body of {@code GET /v1/entries}. */
   public static String firstEntry(String entriesJson) {
     try {
-      JsonNode n = JSON.readTree(entriesJson).path("entries");
-      return n.path(0).path("url").asText();
+      JsonNode entries = JSON.readTree(entriesJson).path("entries");
+      return entries.path(0).path("url").asText();
     } catch (java.io.IOException e) {
       throw new IllegalArgumentException("invalid entries response: " + entriesJson, e);
     }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/TraceRequest.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/TraceRequest.java
@@ -67,14 +67,14 @@
    * speedup}, so that the same workload arrives at a higher rate.
    */
   public static List<TraceRequest> scaled(List<TraceRequest> trace, int copies, double speedup) {
-    List<TraceRequest> out = new ArrayList<>();
-    long span = trace.stream().mapToLong(TraceRequest::atMillis).max().orElse(0) + 1;
-    for (int c = 0; c < copies; c++) {
+    List<TraceRequest> scaledTrace = new ArrayList<>();
+    long spanMillis = trace.stream().mapToLong(TraceRequest::atMillis).max().orElse(0) + 1;
+    for (int copy = 0; copy < copies; copy++) {
       for (TraceRequest r : trace) {
-        long at = (long) ((c * span + r.atMillis()) / speedup);
-        out.add(
+        long atMillis = (long) ((copy * spanMillis + r.atMillis()) / speedup);
+        scaledTrace.add(
             new TraceRequest(
-                at,
+                atMillis,
                 r.region,
                 r.organisation,
                 r.model,
@@ -85,7 +85,7 @@
                 r.idempotencyKey));
       }
     }
-    return out;
+    return scaledTrace;
   }
 
   /** Returns the OpenAI-compatible request body. */
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/VersionWatcher.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/VersionWatcher.java
@@ -38,7 +38,7 @@
 
     synchronized Optional<Long> activeSinceNanos(long version) {
       return increases.stream()
-          .filter(r -> r.version() >= version)
+          .filter(increase -> increase.version() >= version)
           .map(VersionIncrease::atNanos)
           .findFirst();
     }
@@ -81,7 +81,7 @@
 
   /** Returns the number of polls of all daemons that returned an older version than before. */
   public int reverts() {
-    return histories.values().stream().mapToInt(t -> t.reverts).sum();
+    return histories.values().stream().mapToInt(history -> history.reverts).sum();
   }
 
   @Override
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/BatchingEngine.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/BatchingEngine.java
@@ -47,25 +47,25 @@
   private static final class Sequence {
     final HttpServerResponse response;
     final boolean stream;
-    final String tag;
+    final String requestTag;
     final String model;
     final int maxTokens;
     final StringBuilder text = new StringBuilder();
     long pendingPrefillMicros;
-    int emitted;
+    int emittedTokens;
 
     Sequence(HttpServerRequest request, JsonNode body, long prefillMicros) {
       String id = request.getHeader("X-Request-Id");
       this.response = request.response();
       this.stream = body.path("stream").asBoolean(false);
-      this.tag = id == null ? "untagged" : id;
+      this.requestTag = id == null ? "untagged" : id;
       this.model = body.path("model").asText("");
       this.maxTokens = body.path("max_tokens").asInt(DEFAULT_MAX_TOKENS);
       this.pendingPrefillMicros = prefillMicros;
     }
 
     boolean finished() {
-      return emitted >= maxTokens;
+      return emittedTokens >= maxTokens;
     }
   }
 
@@ -102,7 +102,7 @@
       request.response().setChunked(true).putHeader("Content-Type", "text/event-stream");
     }
     inFlight.incrementAndGet();
-    request.connection().closeHandler(v -> sequence.emitted = sequence.maxTokens);
+    request.connection().closeHandler(v -> sequence.emittedTokens = sequence.maxTokens);
     waiting.add(sequence);
     scheduleStep();
   }
@@ -132,11 +132,11 @@
       return;
     }
     stepScheduled = true;
-    long micros = spec.timing().stepMicros(running.size()) + prefillPendingPrompts();
-    busyMicros.addAndGet(micros);
-    stepDueNanos = Math.max(stepDueNanos, System.nanoTime()) + micros * 1000;
+    long stepMicros = spec.timing().stepMicros(running.size()) + prefillPendingPrompts();
+    busyMicros.addAndGet(stepMicros);
+    stepDueNanos = Math.max(stepDueNanos, System.nanoTime()) + stepMicros * 1000;
     long waitMillis = (stepDueNanos - System.nanoTime()) / 1_000_000;
-    vertx.setTimer(Math.max(1, waitMillis), id -> step());
+    vertx.setTimer(Math.max(1, waitMillis), id -> runStep());
   }
 
   /** Prefills one chunk of the oldest pending prompts and returns its duration in microseconds. */
@@ -151,7 +151,7 @@
     return chunkMicros - remainingMicros;
   }
 
-  private void step() {
+  private void runStep() {
     stepScheduled = false;
     for (Iterator<Sequence> it = running.iterator(); it.hasNext(); ) {
       Sequence s = it.next();
@@ -162,18 +162,18 @@
         finish(s);
         it.remove();
       } else {
-        emit(s);
+        emitToken(s);
       }
     }
     scheduleStep();
   }
 
-  private static void emit(Sequence s) {
-    String token = "t" + s.emitted + ":" + s.tag + " ";
-    s.emitted++;
+  private static void emitToken(Sequence s) {
+    String token = "t" + s.emittedTokens + ":" + s.requestTag + " ";
+    s.emittedTokens++;
     s.text.append(token);
     if (s.stream && !s.response.ended()) {
-      s.response.write("data: " + chunk(s, token) + "\n\n");
+      s.response.write("data: " + chunkJson(s, token) + "\n\n");
     }
   }
 
@@ -187,20 +187,20 @@
       return;
     }
     ObjectNode body = JSON.createObjectNode();
-    body.put("id", "chatcmpl-" + s.tag);
+    body.put("id", "chatcmpl-" + s.requestTag);
     body.put("object", "chat.completion");
     body.put("model", s.model);
     ObjectNode choice = body.putArray("choices").addObject();
     choice.put("index", 0);
     choice.putObject("message").put("role", "assistant").put("content", s.text.toString());
     choice.put("finish_reason", "stop");
-    body.putObject("usage").put("completion_tokens", s.emitted);
+    body.putObject("usage").put("completion_tokens", s.emittedTokens);
     s.response.putHeader("Content-Type", "application/json").end(body.toString());
   }
 
-  private static String chunk(Sequence s, String token) {
+  private static String chunkJson(Sequence s, String token) {
     ObjectNode body = JSON.createObjectNode();
-    body.put("id", "chatcmpl-" + s.tag);
+    body.put("id", "chatcmpl-" + s.requestTag);
     body.put("object", "chat.completion.chunk");
     body.put("model", s.model);
     body.putArray("choices").addObject().put("index", 0).putObject("delta").put("content", token);
--- a/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/FaultEndToEndTest.java
+++ b/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/FaultEndToEndTest.java
@@ -67,28 +67,31 @@
     Set<String> others =
         Set.copyOf(DemoDeployment.REGIONS.stream().filter(r -> !r.equals(region)).toList());
     for (Map.Entry<String, String> node : deployment.regionsByNode().entrySet()) {
-      Set<String> cut = node.getValue().equals(region) ? others : Set.of(region);
-      deployment.injectFaults(node.getKey(), partitioned ? cut : Set.of(), 0);
+      Set<String> cutRegions = node.getValue().equals(region) ? others : Set.of(region);
+      deployment.injectFaults(node.getKey(), partitioned ? cutRegions : Set.of(), 0);
     }
   }
 
   @Test
   void partitionedRegionServesItsCallersWithItsLastConfiguration() throws Exception {
-    String cutEntry = deployment.urlOf(OTHER_REGION + "-entry-1");
-    final long before = deployment.client().configVersion(cutEntry);
-    List<TraceRequest> own =
+    String partitionedEntry = deployment.urlOf(OTHER_REGION + "-entry-1");
+    final long versionBefore = deployment.client().configVersion(partitionedEntry);
+    List<TraceRequest> ownRequests =
         DemoDeployment.trace().stream().filter(r -> r.region().equals(OTHER_REGION)).toList();
     setPartitioned(OTHER_REGION, true);
-    final long changed =
+    final long changedVersion =
         deployment.applyConfig(DemoDeployment.resource("demo/selectors.yaml") + "# changed\n");
-    ReplayResult duringCut = replay(own, FaultEndToEndTest::firstEntryOf);
-    assertThat(duringCut.report("cut off"), duringCut.outcome("served"), is(own.size()));
-    assertThat(duringCut.servedByRegion.get(OTHER_REGION), is(own.size()));
-    assertThat(deployment.client().configVersion(cutEntry), is(before));
+    ReplayResult duringPartition = replay(ownRequests, FaultEndToEndTest::firstEntryOf);
+    assertThat(
+        duringPartition.report("partitioned"),
+        duringPartition.outcome("served"),
+        is(ownRequests.size()));
+    assertThat(duringPartition.servedByRegion.get(OTHER_REGION), is(ownRequests.size()));
+    assertThat(deployment.client().configVersion(partitionedEntry), is(versionBefore));
     setPartitioned(OTHER_REGION, false);
     LocalDeployment.awaitCondition(
         "the region applies the change after it is reconnected",
-        () -> deployment.client().configVersion(cutEntry) == changed);
+        () -> deployment.client().configVersion(partitionedEntry) == changedVersion);
   }
 
   @Test
