--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ConfigBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ConfigBench.java
@@ -246,7 +246,7 @@
     }
   }
 
-  /** Resends an accepted change and returns the version in the response, or -1 without one. */
+  /** Resends an accepted change and returns the accepted version, or -1 if there is none. */
   private long resend(Accepted change) throws Exception {
     resends++;
     for (int send = 0; send < MAX_SENDS; send++) {
--- a/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/FaultEndToEndTest.java
+++ b/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/FaultEndToEndTest.java
@@ -83,7 +83,7 @@
         deployment.applyConfig(DemoDeployment.resource("demo/selectors.yaml") + "# changed\n");
     ReplayResult duringPartition = replay(ownRequests, FaultEndToEndTest::firstEntryOf);
     assertThat(
-        duringPartition.report("partitioned"),
+        duringPartition.report("network partition"),
         duringPartition.outcome("served"),
         is(ownRequests.size()));
     assertThat(duringPartition.servedByRegion.get(OTHER_REGION), is(ownRequests.size()));
