--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ConfigBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ConfigBench.java
@@ -124,18 +124,18 @@
     }
     faults.interrupt();
     faults.join();
-    long last = accepted.get(accepted.size() - 1).version();
+    long lastVersion = accepted.get(accepted.size() - 1).version();
     for (String node : nodes) {
       LocalDeployment.awaitCondition(
-          node + " has version " + last,
-          () -> deployment.client().configVersion(deployment.urlOf(node)) >= last);
+          node + " has version " + lastVersion,
+          () -> deployment.client().configVersion(deployment.urlOf(node)) >= lastVersion);
     }
-    long differing =
+    long distinctDocuments =
         nodes.stream()
             .map(node -> deployment.client().configDocument(deployment.urlOf(node)))
             .distinct()
             .count();
-    return report(watcher, nodes, lostChanges()) && differing == 1;
+    return report(watcher, nodes, lostChanges()) && distinctDocuments == 1;
   }
 
   private static String document(String changeId) {
@@ -219,7 +219,7 @@
 
   /** Sends two conflicting changes based on one version and returns the newest accepted version. */
   private long race(int i, long expected) throws Exception {
-    CompletableFuture<Optional<Long>> rival =
+    CompletableFuture<Optional<Long>> rivalChange =
         CompletableFuture.supplyAsync(
             () -> {
               try {
@@ -229,7 +229,7 @@
               }
             });
     Optional<Long> ownVersion = sendUntilFinal("change-" + i, expected);
-    Optional<Long> rivalVersion = rival.get(120, TimeUnit.SECONDS);
+    Optional<Long> rivalVersion = rivalChange.get(120, TimeUnit.SECONDS);
     if (ownVersion.isPresent() && rivalVersion.isPresent()) {
       throw new IllegalStateException(
           "both concurrent changes of version " + expected + " were accepted");
@@ -293,7 +293,7 @@
     List<String> entries = new ArrayList<>(deployment.entries().keySet());
     String control = controls.get(random.nextInt(controls.size()));
     final String entry = entries.get(random.nextInt(entries.size()));
-    final long from = System.nanoTime();
+    final long fromNanos = System.nanoTime();
     switch (fault) {
       case KILL_CONTROL -> killFor(control, 700);
       case KILL_ENTRY -> killFor(entry, 300);
@@ -301,22 +301,22 @@
         deployment.pause(control);
         sleepUninterrupted(2_500);
         deployment.resume(control);
-        recordDisturbance(control, from);
+        recordDisturbance(control, fromNanos);
       }
-      case CUT_REGION -> cutRegion(DemoDeployment.REGIONS.get(random.nextInt(3)), from);
+      case CUT_REGION -> cutRegion(DemoDeployment.REGIONS.get(random.nextInt(3)), fromNanos);
       default -> {
         deployment.kill(control);
         deployment.loseDisk(control);
-        restart(control, from);
+        restart(control, fromNanos);
       }
     }
   }
 
   private void killFor(String node, long downMillis) throws Exception {
-    long from = System.nanoTime();
+    long fromNanos = System.nanoTime();
     deployment.kill(node);
     sleepUninterrupted(downMillis);
-    restart(node, from);
+    restart(node, fromNanos);
   }
 
   private void restart(String node, long fromNanos) throws Exception {
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/OrderLoad.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/OrderLoad.java
@@ -94,11 +94,11 @@
 
   private void sendUntilStopped() {
     while (!stopping.get()) {
-      int n = nextOrder.getAndIncrement();
-      String key = name + "-" + n;
+      int orderNumber = nextOrder.getAndIncrement();
+      String key = name + "-" + orderNumber;
       CompletableFuture<Void> duplicate =
-          CompletableFuture.runAsync(() -> sendUntilFinal(key, n + 1), callers);
-      sendUntilFinal(key, n);
+          CompletableFuture.runAsync(() -> sendUntilFinal(key, orderNumber + 1), callers);
+      sendUntilFinal(key, orderNumber);
       duplicate.join();
     }
   }
@@ -123,15 +123,15 @@
             .POST(HttpRequest.BodyPublishers.ofString("{\"wall\":\"A\"}"))
             .build();
     try {
-      HttpResponse<String> r = http.send(request, HttpResponse.BodyHandlers.ofString());
-      JsonNode body = JSON.readTree(r.body());
-      if (r.statusCode() == 200) {
+      HttpResponse<String> response = http.send(request, HttpResponse.BodyHandlers.ofString());
+      JsonNode body = JSON.readTree(response.body());
+      if (response.statusCode() == 200) {
         String order = body.path("runner").asText() + "/" + body.path("order").asText();
         ordersByKey.computeIfAbsent(key, k -> ConcurrentHashMap.newKeySet()).add(order);
         recordOutcome(key, "served");
         return Finality.FINAL;
       }
-      String code = body.path("error").path("code").asText("http_" + r.statusCode());
+      String code = body.path("error").path("code").asText("http_" + response.statusCode());
       recordOutcome(key, code);
       return code.equals("outcome_unknown") ? Finality.FINAL : Finality.ASK_AGAIN;
     } catch (IOException e) {
@@ -163,11 +163,11 @@
   private Map<String, Integer> readRuns() throws IOException, InterruptedException {
     Map<String, Integer> all = new HashMap<>();
     for (String runner : runners) {
-      HttpResponse<String> r =
+      HttpResponse<String> response =
           http.send(
               HttpRequest.newBuilder(URI.create(runner + "/v1/runs")).build(),
               HttpResponse.BodyHandlers.ofString());
-      JSON.readTree(r.body())
+      JSON.readTree(response.body())
           .path("byKey")
           .fields()
           .forEachRemaining(f -> all.merge(f.getKey(), f.getValue().asInt(), Integer::sum));
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
@@ -139,15 +139,15 @@
   /** Measures the CPU time and heap of a configuration version by number of organisations. */
   public void configuration(List<Integer> organisationCounts) {
     for (int n : organisationCounts) {
-      StringBuilder doc = new StringBuilder("selectors:\n");
-      doc.append("  - {name: w, work: {models: [writer]},")
+      StringBuilder yaml = new StringBuilder("selectors:\n");
+      yaml.append("  - {name: w, work: {models: [writer]},")
           .append(" endpoints: {matchLabels: {service: writers}}}\norganisations:\n");
       for (int i = 0; i < n; i++) {
-        doc.append("  - {name: org-")
+        yaml.append("  - {name: org-")
             .append(i)
             .append(", residency: [uusimaa, pirkanmaa], requestsPerSecond: 20}\n");
       }
-      String document = doc.toString();
+      String document = yaml.toString();
       for (int round = 0; round < 3; round++) {
         ConfigParser.parse(document);
       }
@@ -205,10 +205,11 @@
       List<Membership> members = new ArrayList<>();
       String seed = null;
       for (int i = 0; i < n; i++) {
-        PeerTransport t = new PeerTransport(vertx, new FrameCodec(secret));
+        PeerTransport transport = new PeerTransport(vertx, new FrameCodec(secret));
         Membership[] holder = new Membership[1];
         int port =
-            t.listen(
+            transport
+                .listen(
                     "127.0.0.1",
                     0,
                     (timestamp, m) -> {
@@ -227,9 +228,10 @@
         String role = i < CONTROL_MEMBERS ? MemberInfo.CONTROL : MemberInfo.ENTRY;
         MemberInfo self =
             new MemberInfo("node-" + i, role, region, region + "-a", address, address, 1);
-        Membership m = new Membership(self, List.of(seed), t, InstantSource.system(), interval);
+        Membership m =
+            new Membership(self, List.of(seed), transport, InstantSource.system(), interval);
         holder[0] = m;
-        transports.add(t);
+        transports.add(transport);
         members.add(m);
       }
       long[] timers = new long[n];
