--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/DirectoryApi.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/DirectoryApi.java
@@ -22,50 +22,52 @@
 import org.lacewingcroft.peer.PeerMessage;
 
 /**
- * Who is where: {@code GET /v1/entries} tells callers which entries to use, {@code POST
- * /v1/endpoints/announce} takes endpoints' announcements and {@code GET /v1/endpoints} lists them;
- * {@code GET /v1/models} lists what they serve, as OpenAI clients expect it.
+ * The directory API: {@code GET /v1/entries} lists the entries that callers may use, {@code POST
+ * /v1/endpoints/announce} receives announcements of endpoints, {@code GET /v1/endpoints} lists the
+ * endpoints, and {@code GET /v1/models} lists their models in the format of the OpenAI API.
  */
 final class DirectoryApi {
   private final Membership membership;
   private final EndpointRegistry endpoints;
   private final ConfigStore configs;
   private final InstantSource clock;
-  private final BooleanSupplier servesCallers;
+  private final BooleanSupplier acceptsRequests;
 
   /**
    * Creates the API.
    *
-   * @param servesCallers whether this daemon itself is an entry that takes new requests
+   * @param acceptsRequests whether this daemon is an entry that accepts new requests
    */
   DirectoryApi(
       Membership membership,
       EndpointRegistry endpoints,
       ConfigStore configs,
       InstantSource clock,
-      BooleanSupplier servesCallers) {
+      BooleanSupplier acceptsRequests) {
     this.membership = membership;
     this.endpoints = endpoints;
     this.configs = configs;
     this.clock = clock;
-    this.servesCallers = servesCallers;
+    this.acceptsRequests = acceptsRequests;
   }
 
+  /** Mounts the route that lists the entries. */
   void mountEntries(Router router) {
-    router.get("/v1/entries").handler(this::entriesPage);
+    router.get("/v1/entries").handler(this::serveEntries);
   }
 
+  /** Mounts the routes for endpoints and models. */
   void mountEndpoints(Router router) {
     router.post("/v1/endpoints/announce").handler(this::announce);
-    router.get("/v1/endpoints").handler(this::endpointsPage);
-    router.get("/v1/models").handler(this::modelsPage);
+    router.get("/v1/endpoints").handler(this::serveEndpoints);
+    router.get("/v1/models").handler(this::serveModels);
   }
 
-  private void entriesPage(RoutingContext ctx) {
+  private void serveEntries(RoutingContext ctx) {
     String region =
         Optional.ofNullable(ctx.request().getParam("region")).orElse(membership.self().region());
     Stream<MemberInfo> self =
-        servesCallers.getAsBoolean() ? Stream.of(membership.self()) : Stream.empty();
+        acceptsRequests.getAsBoolean() ? Stream.of(membership.self()) : Stream.empty();
     Stream<MemberInfo> others =
         membership.table().alive(MemberInfo.ENTRY, null, clock.instant()).stream()
             .map(Member::info);
@@ -100,7 +102,7 @@
     }
   }
 
-  private void endpointsPage(RoutingContext ctx) {
+  private void serveEndpoints(RoutingContext ctx) {
     ArrayNode list = JsonReply.JSON.createArrayNode();
     endpoints.snapshot().all().stream()
         .sorted(Comparator.comparing(Endpoint::id))
@@ -108,7 +110,7 @@
     JsonReply.send(ctx, list);
   }
 
-  private void modelsPage(RoutingContext ctx) {
+  private void serveModels(RoutingContext ctx) {
     ObjectNode reply = JsonReply.JSON.createObjectNode().put("object", "list");
     ArrayNode list = reply.putArray("data");
     endpoints.snapshot().all().stream()
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetTransport.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetTransport.java
@@ -12,12 +12,15 @@
 import org.lacewingcroft.peer.PeerTraffic;
 import org.lacewingcroft.peer.PeerTransport;
 
-/** The peer transport as the instances of a fleet use it; handlers run on the given context. */
+/**
+ * The peer transport as used by the instances of a fleet; message handlers run on the given
+ * context.
+ */
 final class FleetTransport implements AutoCloseable {
   private static final System.Logger LOG = System.getLogger(FleetTransport.class.getName());
 
-  /** Pause between two accounts of the traffic in the log. */
-  private static final long ACCOUNT_MILLIS = 15_000;
+  /** Interval at which the traffic totals are logged. */
+  private static final long TRAFFIC_LOG_INTERVAL_MILLIS = 15_000;
 
   private static final long NANOS_PER_MICRO = 1_000;
 
@@ -33,11 +36,11 @@
 
   Future<Integer> listen(
       Consumer<FleetMessage> onFleet, BiConsumer<String, ConsensusMessage> onConsensus) {
-    context.owner().setPeriodic(ACCOUNT_MILLIS, id -> logTraffic());
+    context.owner().setPeriodic(TRAFFIC_LOG_INTERVAL_MILLIS, id -> logTraffic());
     return transport.listen(
         settings.ip(),
         settings.peerPort(),
-        (stamp, message) -> {
+        (timestamp, message) -> {
           if (message instanceof PeerMessage.Consensus consensus) {
             onConsensus.accept(consensus.from(), consensus.message());
           } else if (message instanceof PeerMessage.Fleet fleet) {
@@ -47,17 +50,17 @@
   }
 
   private void handle(PeerMessage.Fleet fleet, Consumer<FleetMessage> onFleet) {
-    long begunNanos = System.nanoTime();
+    long startNanos = System.nanoTime();
     onFleet.accept(fleet.message());
-    transport.traffic().handled(fleet, System.nanoTime() - begunNanos);
+    transport.traffic().recordHandling(fleet, System.nanoTime() - startNanos);
   }
 
-  /** Returns what the messages cost by kind. */
+  /** Returns the traffic and processing time by message kind. */
   PeerTraffic traffic() {
     return transport.traffic();
   }
 
-  /** Logs what the messages have cost since the start, from time to time. */
+  /** Logs the traffic and processing time since the start, by message kind. */
   private void logTraffic() {
     traffic()
         .totals()
@@ -85,7 +88,7 @@
     sendOnContext(peerAddress, new PeerMessage.Fleet(message));
   }
 
-  /** Sends a message of the control group. */
+  /** Sends a message of the control group; may be called from any thread. */
   void send(String peerAddress, ConsensusMessage message) {
     sendOnContext(peerAddress, new PeerMessage.Consensus(settings.peerAddress(), message));
   }
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/control/RoutingControlTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/control/RoutingControlTest.java
@@ -19,7 +19,10 @@
 import org.lacewingcroft.consensus.ConfigState;
 import org.lacewingcroft.consensus.Snapshot;
 
-/** A control instance whose disk fails takes no part any more, and goes on from what is on disk. */
+/**
+ * Checks that a control instance stops taking part and reports no majority when its disk fails, and
+ * that a new one resumes from the state on disk.
+ */
 class RoutingControlTest {
   private static final String SELF = "10.0.0.1:7660";
 
@@ -29,8 +32,8 @@
     return future.toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
   }
 
-  private static RoutingControl open(DurableLog log, CompletableFuture<Throwable> failed) {
-    return new RoutingControl(SELF, log, 0, (to, m) -> {}, state -> {}, failed::complete);
+  private static RoutingControl open(DurableLog log, CompletableFuture<Throwable> diskFailure) {
+    return new RoutingControl(SELF, log, 0, (to, m) -> {}, state -> {}, diskFailure::complete);
   }
 
   private static ChangeResult submit(RoutingControl control, long version) throws Exception {
@@ -46,36 +49,36 @@
   }
 
   @Test
-  void failedDiskEndsItsPartAndTheFolderCanBeOpenedAgain() throws Exception {
-    AtomicBoolean full = new AtomicBoolean();
+  void diskFailureLosesMajorityAndFolderCanBeReopened() throws Exception {
+    AtomicBoolean diskFull = new AtomicBoolean();
     DurableLog log =
         DurableLog.open(
             folder,
             true,
             channel -> {
-              if (full.get()) {
+              if (diskFull.get()) {
                 throw new IOException("no space left");
               }
               channel.force(true);
             });
     log.compact(
         new Snapshot(0, 0, ConfigState.EMPTY.withMembers(Set.of(SELF))), java.util.List.of());
-    CompletableFuture<Throwable> failed = new CompletableFuture<>();
-    RoutingControl control = open(log, failed);
+    CompletableFuture<Throwable> diskFailure = new CompletableFuture<>();
+    RoutingControl control = open(log, diskFailure);
     assertThat(submit(control, 5), instanceOf(ChangeResult.Accepted.class));
     assertThat(control.view().inMajority(), equalTo(true));
 
-    full.set(true);
-    ChangeResult lost =
+    diskFull.set(true);
+    ChangeResult result =
         await(control.submit(new Command.RoutingChange(6, "v6"), Duration.ofSeconds(2)));
-    failed.get(5, TimeUnit.SECONDS);
-    assertThat(lost, instanceOf(ChangeResult.Unknown.class));
+    diskFailure.get(5, TimeUnit.SECONDS);
+    assertThat(result, instanceOf(ChangeResult.Unknown.class));
     assertThat(control.view().inMajority(), equalTo(false));
 
-    try (RoutingControl again =
-        open(DurableLog.openFounded(folder, Set.of()), new CompletableFuture<>())) {
-      assertThat(submit(again, 7), instanceOf(ChangeResult.Accepted.class));
-      assertThat(again.view().routing().document(), equalTo("v7"));
+    try (RoutingControl reopened =
+        open(DurableLog.openWithFounders(folder, Set.of()), new CompletableFuture<>())) {
+      assertThat(submit(reopened, 7), instanceOf(ChangeResult.Accepted.class));
+      assertThat(reopened.view().routing().document(), equalTo("v7"));
     }
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/Output.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/Output.java
@@ -3,14 +3,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What one step of a {@link ConsensusMember} asks its driver to do, in order. */
+/**
+ * The actions that one step of a {@link ConsensusMember} requests from its driver: messages,
+ * committed entries and decisions, each in order.
+ */
 public final class Output {
   private final List<Envelope> messages = new ArrayList<>();
   private final List<LogEntry> committed = new ArrayList<>();
   private final List<Decision> decisions = new ArrayList<>();
 
   /**
-   * A message to another member.
+   * A message addressed to another member.
    *
    * @param to the member's id
    * @param message the message
@@ -20,10 +23,10 @@
   /**
    * The outcome of a proposal.
    *
-   * @param ticket the ticket the driver gave with the proposal
+   * @param proposalId the id that the driver passed with the proposal
    * @param result the outcome
    */
-  public record Decision(long ticket, ChangeResult result) {}
+  public record Decision(long proposalId, ChangeResult result) {}
 
   void send(String to, ConsensusMessage message) {
     messages.add(new Envelope(to, message));
@@ -33,8 +36,8 @@
     committed.addAll(entries);
   }
 
-  void decide(long ticket, ChangeResult result) {
-    decisions.add(new Decision(ticket, result));
+  void decide(long proposalId, ChangeResult result) {
+    decisions.add(new Decision(proposalId, result));
   }
 
   /** Returns the messages to send. */
@@ -47,7 +50,7 @@
     return committed;
   }
 
-  /** Returns the proposals decided. */
+  /** Returns the decisions on proposals. */
   public List<Decision> decisions() {
     return decisions;
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ReplicatedLog.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ReplicatedLog.java
@@ -6,8 +6,9 @@
 import java.util.Set;
 
 /**
- * One member's log in memory over its {@link LogStorage}: the snapshot, the entries behind it and
- * the commit index. Every change reaches the storage before it is visible here.
+ * One member's log, held in memory and backed by its {@link LogStorage}: the snapshot, the entries
+ * after it and the commit index. Every change is written to the storage before it becomes visible
+ * here.
  */
 final class ReplicatedLog {
   private final LogStorage storage;
@@ -43,13 +44,15 @@
     return tail.isEmpty() ? snapshot.state().version() : tail.get(tail.size() - 1).version();
   }
 
-  /** Returns the members the log names last, committed or not; empty if it names none. */
+  /**
+   * Returns the members in the last group change, committed or not; empty if the log defines none.
+   */
   Set<String> members() {
     return members;
   }
 
-  /** Returns whether a change of the members is held that is not yet committed. */
-  boolean groupChangePending() {
+  /** Returns whether the log contains a group change that is not yet committed. */
+  boolean hasPendingGroupChange() {
     for (long i = lastIndex(); i > commitIndex; i--) {
       if (entry(i).command() instanceof Command.GroupChange) {
         return true;
@@ -58,7 +61,7 @@
     return false;
   }
 
-  /** Returns the routing version after the last entry, committed or not. */
+  /** Returns the highest routing version in the log, committed or not. */
   long lastRoutingVersion() {
     long version = state.routing().version();
     for (long i = lastIndex(); i > commitIndex; i--) {
@@ -83,7 +86,7 @@
     return commitIndex;
   }
 
-  /** Returns the state after the committed entries. */
+  /** Returns the state after the last committed entry. */
   ConfigState state() {
     return state;
   }
@@ -92,7 +95,10 @@
     return snapshot;
   }
 
-  /** Returns the term at an index from the snapshot's last on, or -1 where nothing is held. */
+  /**
+   * Returns the term of the entry at an index, which may be the last one of the snapshot; -1 if it
+   * is before that or after the last entry.
+   */
   long termAt(long index) {
     if (index == snapshot.lastIndex()) {
       return snapshot.lastTerm();
@@ -104,18 +110,22 @@
     return tail.get((int) (index - firstIndex()));
   }
 
-  /** Returns up to {@code limit} entries from an index on. */
-  List<LogEntry> from(long index, int limit) {
+  /** Returns up to {@code limit} entries starting at an index. */
+  List<LogEntry> entriesFrom(long index, int limit) {
     int start = (int) (index - firstIndex());
     return List.copyOf(tail.subList(start, Math.min(tail.size(), start + limit)));
   }
 
-  /** Returns whether a log ending with this term and index is at least as complete as ours. */
-  boolean coveredBy(long otherTerm, long otherIndex) {
-    return otherTerm > lastTerm() || otherTerm == lastTerm() && otherIndex >= lastIndex();
+  /**
+   * Returns whether a candidate's log, whose last entry has this term and index, is at least as up
+   * to date as this log.
+   */
+  boolean isCandidateUpToDate(long otherLastTerm, long otherLastIndex) {
+    return otherLastTerm > lastTerm()
+        || otherLastTerm == lastTerm() && otherLastIndex >= lastIndex();
   }
 
-  /** Returns the index of a change that is in the log but not yet committed, or 0. */
+  /** Returns the index of the uncommitted entry with this change id, or 0 if there is none. */
   long uncommittedIndexOf(String changeId) {
     for (long i = commitIndex + 1; i <= lastIndex(); i++) {
       if (entry(i).command() instanceof Command.Change c && c.changeId().equals(changeId)) {
@@ -136,7 +146,7 @@
     return Optional.ofNullable(state.storageIdByMember().get(memberId));
   }
 
-  /** Appends one entry of the leader's own and returns it. */
+  /** Appends one entry on the leader and returns it. */
   LogEntry append(long term, Command command) {
     long version = lastVersion() + (command instanceof Command.Change ? 1 : 0);
     LogEntry entry = new LogEntry(lastIndex() + 1, term, version, command);
@@ -146,21 +156,24 @@
     return entry;
   }
 
-  /** Takes a leader's entries: skips those held, cuts a conflicting suffix, appends the rest. */
+  /**
+   * Merges a leader's entries: skips those already present, truncates a conflicting suffix and
+   * appends the rest.
+   */
   void merge(List<LogEntry> entries) {
-    List<LogEntry> fresh = new ArrayList<>();
+    List<LogEntry> newEntries = new ArrayList<>();
     for (LogEntry e : entries) {
-      if (e.index() < firstIndex() || fresh.isEmpty() && termAt(e.index()) == e.term()) {
+      if (e.index() < firstIndex() || newEntries.isEmpty() && termAt(e.index()) == e.term()) {
         continue;
       }
-      if (fresh.isEmpty() && e.index() <= lastIndex()) {
+      if (newEntries.isEmpty() && e.index() <= lastIndex()) {
         truncateFrom(e.index());
       }
-      fresh.add(e);
+      newEntries.add(e);
     }
-    if (!fresh.isEmpty()) {
-      storage.append(fresh);
-      tail.addAll(fresh);
+    if (!newEntries.isEmpty()) {
+      storage.append(newEntries);
+      tail.addAll(newEntries);
       refreshMembers();
     }
   }
@@ -173,8 +186,11 @@
     tail.subList((int) (index - firstIndex()), tail.size()).clear();
   }
 
-  /** Commits up to an index (at most the last one held) and returns the entries it commits. */
-  List<LogEntry> commitTo(long index) {
+  /**
+   * Advances the commit index to the given index, at most to the last entry, and returns the newly
+   * committed entries.
+   */
+  List<LogEntry> commitUpTo(long index) {
     List<LogEntry> committed = new ArrayList<>();
     while (commitIndex < Math.min(index, lastIndex())) {
       commitIndex++;
@@ -185,34 +201,40 @@
     return committed;
   }
 
-  /** Replaces everything by a leader's snapshot, if it is ahead of what is committed here. */
-  void install(Snapshot newer) {
-    if (newer.lastIndex() <= commitIndex) {
+  /**
+   * Installs a leader's snapshot if it is ahead of the commit index; keeps the entries after it if
+   * the log matches it.
+   */
+  void installSnapshot(Snapshot newSnapshot) {
+    if (newSnapshot.lastIndex() <= commitIndex) {
       return;
     }
-    List<LogEntry> kept =
-        termAt(newer.lastIndex()) == newer.lastTerm()
-            ? from(newer.lastIndex() + 1, Integer.MAX_VALUE / 2)
+    List<LogEntry> remaining =
+        termAt(newSnapshot.lastIndex()) == newSnapshot.lastTerm()
+            ? entriesFrom(newSnapshot.lastIndex() + 1, Integer.MAX_VALUE / 2)
             : List.of();
-    replacePrefix(newer, kept);
-    state = newer.state();
-    commitIndex = newer.lastIndex();
+    replacePrefix(newSnapshot, remaining);
+    state = newSnapshot.state();
+    commitIndex = newSnapshot.lastIndex();
   }
 
-  /** Compacts the committed prefix once the entries held reach the limit. */
-  void compactOver(int limit) {
+  /**
+   * Replaces the committed prefix by a snapshot if at least {@code limit} entries follow the last
+   * one.
+   */
+  void compactIfLong(int limit) {
     if (tail.size() < limit || commitIndex < firstIndex()) {
       return;
     }
-    Snapshot covering = new Snapshot(commitIndex, termAt(commitIndex), state);
-    replacePrefix(covering, from(commitIndex + 1, Integer.MAX_VALUE / 2));
+    Snapshot newSnapshot = new Snapshot(commitIndex, termAt(commitIndex), state);
+    replacePrefix(newSnapshot, entriesFrom(commitIndex + 1, Integer.MAX_VALUE / 2));
   }
 
-  private void replacePrefix(Snapshot newer, List<LogEntry> kept) {
-    storage.compact(newer, kept);
-    snapshot = newer;
+  private void replacePrefix(Snapshot newSnapshot, List<LogEntry> remaining) {
+    storage.compact(newSnapshot, remaining);
+    snapshot = newSnapshot;
     tail.clear();
-    tail.addAll(kept);
+    tail.addAll(remaining);
     refreshMembers();
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/TrackedEndpoints.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/TrackedEndpoints.java
@@ -17,120 +17,128 @@
 import org.lacewingcroft.misc.BoundedMap;
 
 /**
- * The endpoints that an entry knows: their records, as the control instances tell of them, and a
- * tracker for each incarnation.
+ * Holds the endpoints known to an entry: their records, as the control instances report them, and a
+ * tracker for the newest incarnation of each.
  *
- * <p>Not thread-safe: owned by the entry's event loop.
+ * <p>Not thread-safe: confined to the entry's event loop thread.
  */
 public final class TrackedEndpoints {
-  /** A record younger than this may be missing in another control instance's whole roster. */
-  private static final Duration ROSTER_SPREAD = Duration.ofSeconds(3);
+  /**
+   * Age up to which a record may be missing from another control instance's complete roster,
+   * because control instances receive announcements of new endpoints at different times.
+   */
+  private static final Duration ROSTER_PROPAGATION_TIME = Duration.ofSeconds(3);
 
-  private static final int CONDITIONS_KEPT = 4_096;
+  private static final int MAX_CONDITIONS = 4_096;
 
   private final EndpointRoster roster = new EndpointRoster();
   private final Map<String, EndpointTracker> trackers = new TreeMap<>();
-  private final Map<String, Instant> knownSince = new HashMap<>();
+  private final Map<String, Instant> firstReportedAt = new HashMap<>();
 
-  /** By incarnation, those of endpoints included that the control instances have forgotten. */
+  /**
+   * Advertised conditions by incarnation. They outlast the records: the control instances may
+   * remove an endpoint from their roster and later report the same incarnation again.
+   */
   private final Map<String, AdvertisedConditions> conditions =
-      BoundedMap.evictingLeastRecentlyUsed(CONDITIONS_KEPT);
+      BoundedMap.evictingLeastRecentlyUsed(MAX_CONDITIONS);
 
   private final Listener listener;
 
-  /** Hears what changes. */
+  /** Receives changes of the endpoints. */
   public interface Listener {
     /**
-     * Others must know of a change: a new endpoint, another state, one that turned cold.
+     * Called on a change that other components need: a new endpoint, another state, or an endpoint
+     * that has become cold.
      *
-     * @param record what is believed now
-     * @param cause the instance that told of it
+     * @param record the endpoint's current record
+     * @param cause the instance that reported the change
      */
     void changed(EndpointRecord record, String cause);
 
-    /** An endpoint is lost, or another incarnation is there under its id. */
+    /** Called when an endpoint is lost or another incarnation has replaced it under its id. */
     void incarnationLost(EndpointTracker endpoint);
 
-    /** An endpoint that was lost is back as the same incarnation. */
+    /** Called when an endpoint that was lost is ready again as the same incarnation. */
     void incarnationReturned(EndpointRecord record);
   }
 
-  /** Creates it knowing no endpoint. */
+  /** Creates an empty set of endpoints. */
   public TrackedEndpoints(Listener listener) {
     this.listener = listener;
   }
 
-  /** Takes records that a control instance tells. */
+  /** Applies records that a control instance reports. */
   public void update(FleetMessage.RosterUpdate update, Instant now) {
-    Set<String> named = new HashSet<>();
+    Set<String> listed = new HashSet<>();
     for (EndpointRecord record : update.records()) {
-      named.add(record.id());
-      take(record, update.from(), now);
+      listed.add(record.id());
+      apply(record, update.from(), now);
     }
     if (update.complete()) {
       for (EndpointRecord record : roster.records(now)) {
-        if (!named.contains(record.id()) && isOld(record, now)) {
-          missing(record, update.from(), now);
+        if (!listed.contains(record.id()) && hasPropagated(record, now)) {
+          handleMissing(record, update.from(), now);
         }
       }
     }
-    roster.removeExpiredTombstones(now).forEach(this::forget);
+    roster.removeExpiredTombstones(now).forEach(this::remove);
   }
 
-  private boolean isOld(EndpointRecord record, Instant now) {
-    Instant since = knownSince.getOrDefault(record.id(), Instant.EPOCH);
-    return since.plus(ROSTER_SPREAD).isBefore(now);
+  private boolean hasPropagated(EndpointRecord record, Instant now) {
+    Instant since = firstReportedAt.getOrDefault(record.id(), Instant.EPOCH);
+    return since.plus(ROSTER_PROPAGATION_TIME).isBefore(now);
   }
 
   /**
-   * A whole roster does not name an endpoint. One that was lost before is forgotten: as long as it
-   * is kept the digests differ, and the whole roster is told again and again.
+   * Handles an endpoint that a complete roster does not contain. One that is already lost is
+   * removed: as long as it is kept, the digests differ and the complete roster is sent again and
+   * again.
    */
-  private void missing(EndpointRecord record, String from, Instant now) {
+  private void handleMissing(EndpointRecord record, String reporter, Instant now) {
     switch (record.state()) {
-      case READY, DRAINING -> take(record.withState(EndpointState.LOST), from, now);
-      case LOST -> forget(record.id());
+      case READY, DRAINING -> apply(record.withState(EndpointState.LOST), reporter, now);
+      case LOST -> remove(record.id());
       default -> {}
     }
   }
 
-  private void forget(String endpointId) {
+  private void remove(String endpointId) {
     roster.remove(endpointId);
     trackers.remove(endpointId);
-    knownSince.remove(endpointId);
+    firstReportedAt.remove(endpointId);
   }
 
   /**
-   * Takes a record. A later incarnation gets a tracker of its own: it holds no prompts and nothing
-   * in flight of the one before, whose requests end on the old tracker.
+   * Applies a record. A later incarnation gets a new tracker, because its predecessor's cached
+   * prompts and requests in flight do not apply to it; those requests end on the old tracker.
    */
-  private void take(EndpointRecord record, String from, Instant now) {
+  private void apply(EndpointRecord record, String reporter, Instant now) {
     final Optional<EndpointRecord> changed = roster.merge(record, now);
-    EndpointRecord known = roster.find(record.id()).orElse(record);
+    EndpointRecord current = roster.find(record.id()).orElse(record);
     EndpointTracker tracker = trackers.get(record.id());
     if (tracker != null) {
-      noteEnd(tracker, known, changed.isPresent());
-      if (known.recoversFrom(tracker.record())) {
-        listener.incarnationReturned(known);
+      notifyIfLost(tracker, current, changed.isPresent());
+      if (current.recoversFrom(tracker.record())) {
+        listener.incarnationReturned(current);
       }
     }
-    if (tracker == null || known.startedAfter(tracker.record())) {
-      AdvertisedConditions stated =
-          conditions.computeIfAbsent(known.incarnationId(), i -> new AdvertisedConditions());
-      trackers.put(record.id(), new EndpointTracker(known, stated, now));
-      knownSince.put(record.id(), now);
-    } else if (known.equals(record)) {
+    if (tracker == null || current.startedAfter(tracker.record())) {
+      AdvertisedConditions advertised =
+          conditions.computeIfAbsent(current.incarnationId(), i -> new AdvertisedConditions());
+      trackers.put(record.id(), new EndpointTracker(current, advertised, now));
+      firstReportedAt.put(record.id(), now);
+    } else if (current.equals(record)) {
       tracker.update(record, now);
     }
-    if (known.state() == EndpointState.GONE && trackers.get(record.id()).inFlight() == 0) {
+    if (current.state() == EndpointState.GONE && trackers.get(record.id()).inFlight() == 0) {
       trackers.remove(record.id());
     }
-    changed.ifPresent(c -> listener.changed(c, from));
+    changed.ifPresent(c -> listener.changed(c, reporter));
   }
 
-  private void noteEnd(EndpointTracker tracker, EndpointRecord known, boolean changed) {
-    boolean lost = changed && known.state() == EndpointState.LOST;
-    if (lost || known.startedAfter(tracker.record())) {
+  private void notifyIfLost(EndpointTracker tracker, EndpointRecord current, boolean changed) {
+    boolean lost = changed && current.state() == EndpointState.LOST;
+    if (lost || current.startedAfter(tracker.record())) {
       listener.incarnationLost(tracker);
     }
   }
@@ -145,12 +153,17 @@
     return Collections.unmodifiableCollection(trackers.values());
   }
 
-  /** Returns the digest by which a control instance finds out whether this entry missed news. */
+  /**
+   * Returns the digest by which a control instance detects that this entry has missed an update.
+   */
   public int digest() {
     return roster.digest();
   }
 
-  /** Returns how many records are kept, those of endpoints included that have left or are lost. */
+  /**
+   * Returns the number of stored records, including those of endpoints that have shut down or are
+   * lost.
+   */
   public int size() {
     return roster.size();
   }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/config/ConfigPatchTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/config/ConfigPatchTest.java
@@ -29,22 +29,27 @@
     return Stream.of(
         Arguments.of("nothing", "{}", "writers,desk", "a,b"),
         Arguments.of("adds", "organisations: [{name: c}]", "writers,desk", "a,b,c"),
-        Arguments.of("replaces in place", "selectors: [{name: writers}]", "writers,desk", "a,b"),
+        Arguments.of(
+            "replaces a selector in place", "selectors: [{name: writers}]", "writers,desk", "a,b"),
         Arguments.of("removes", "remove: {selectors: [writers]}", "desk", "a,b"),
         Arguments.of(
-            "removes what is not there", "remove: {organisations: [x]}", "writers,desk", "a,b"),
+            "removes an unknown organisation",
+            "remove: {organisations: [x]}",
+            "writers,desk",
+            "a,b"),
         Arguments.of(
-            "removes and adds again",
+            "removes and re-adds a selector",
             "selectors: [{name: writers}]\nremove: {selectors: [writers]}",
             "desk,writers",
             "a,b"));
   }
 
-  /** The parsed configuration and the written document must say the same. */
+  /**
+   * The patched configuration must be equal to the configuration parsed from the patched document.
+   */
   @ParameterizedTest(name = "{0}")
   @MethodSource("patches")
-  void changesWhatItNamesAndNothingElse(
-      String name, String yaml, String selectors, String organisations) {
+  void changesOnlyTheListedItems(String name, String yaml, String selectors, String organisations) {
     ConfigPatch patch = ConfigPatch.parse(yaml);
     GatewayConfig patched = ConfigParser.parse(BASE).patched(patch, 8);
     assertThat(patched.version(), is(8L));
@@ -61,13 +66,13 @@
   }
 
   @ParameterizedTest
-  @MethodSource("badPatches")
-  void refusesBadPatches(String yaml, String message) {
+  @MethodSource("invalidPatches")
+  void rejectsInvalidPatches(String yaml, String message) {
     GatewayException e = assertThrows(GatewayException.class, () -> ConfigPatch.parse(yaml));
     assertThat(e.getMessage(), containsString(message));
   }
 
-  static Stream<Arguments> badPatches() {
+  static Stream<Arguments> invalidPatches() {
     return Stream.of(
         Arguments.of("", "mapping"),
         Arguments.of("[]", "mapping"),
@@ -78,7 +83,7 @@
   }
 
   @Test
-  void storeServesLaggingPeersWithPatches() {
+  void storeProvidesPatchesToLaggingPeers() {
     ConfigStore ahead = new ConfigStore();
     ConfigStore behind = new ConfigStore();
     ahead.offer(4, BASE);
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
@@ -240,7 +240,7 @@
         timers[i] =
             vertx.setPeriodic(
                 interval.toMillis(),
-                id -> m.beat(new Gossiper.SelfReport(false, 1, Map.of("writer", 4))));
+                id -> m.sendRound(new Gossiper.SelfReport(false, 1, Map.of("writer", 4))));
       }
       long settleMillis = run.toMillis() / 2;
       TimeUnit.MILLISECONDS.sleep(settleMillis);
@@ -307,7 +307,7 @@
 
   private static long suspectedCount(Membership m) {
     Instant now = Instant.now();
-    return m.table().followed().stream()
+    return m.table().trackedMembers().stream()
         .filter(member -> m.table().status(member, now) != MemberStatus.ALIVE)
         .count();
   }
