--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/ApplyCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/ApplyCommand.java
@@ -13,10 +13,10 @@
 import picocli.CommandLine.Option;
 
 /**
- * Applies a selectors document through the control role, with a client change id (so a resend is
- * applied once) and an expected version (so racing changes cannot both win).
+ * Applies a selectors document through a control instance. The change id makes a resend idempotent,
+ * and the expected version makes the second of two concurrent changes fail.
  */
-@Command(name = "apply", description = "Apply a selectors document through the control role.")
+@Command(name = "apply", description = "Apply a selectors document through a control daemon.")
 final class ApplyCommand implements Callable<Integer> {
   @Option(names = "-f", required = true, description = "the YAML document")
   Path file;
@@ -31,13 +31,15 @@
 
   @Option(
       names = "--expected-version",
-      description = "version the change is based on; default: the one in force now")
+      description = "version that the change is based on; default: the active one")
   Long expectedVersion;
 
-  @Option(names = "--change-id", description = "client change id; default: a new UUID")
+  @Option(
+      names = "--change-id",
+      description = "change id for idempotent resends; default: a new UUID")
   String changeId;
 
-  private void check(String document) {
+  private void validate(String document) {
     if (patch) {
       ConfigPatch.parse(document);
     } else {
@@ -49,25 +51,25 @@
   public Integer call() throws Exception {
     String document = Files.readString(file);
     try {
-      check(document);
+      validate(document);
     } catch (GatewayException e) {
       System.err.println("lacewingcroft apply: " + e.getMessage());
       return 2;
     }
-    try (Http http = new Http()) {
+    try (BlockingHttpClient http = new BlockingHttpClient()) {
       long expected =
           expectedVersion != null
               ? expectedVersion
               : Long.parseLong(http.get(server + "/v1/config").headers().get("X-Config-Version"));
       String id = changeId != null ? changeId : UUID.randomUUID().toString();
-      Http.Reply reply =
+      BlockingHttpClient.Response response =
           http.send(
               patch ? HttpMethod.PATCH : HttpMethod.PUT,
               server + "/v1/config",
               Map.of("X-Change-Id", id, "X-Expected-Version", Long.toString(expected)),
               document);
-      System.out.println(reply.body());
-      return reply.status() == 200 ? 0 : 1;
+      System.out.println(response.body());
+      return response.status() == 200 ? 0 : 1;
     }
   }
 }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/Http.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/BlockingHttpClient.java
@@ -8,22 +8,22 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** A blocking HTTP helper for the command line, over Vert.x's web client. */
-final class Http implements AutoCloseable {
+/** A blocking HTTP client for the commands, based on the Vert.x web client. */
+final class BlockingHttpClient implements AutoCloseable {
   private static final long TIMEOUT_SECONDS = 15;
   private final Vertx vertx = Vertx.vertx();
   private final WebClient client = WebClient.create(vertx);
 
   /**
-   * A response reduced to what the commands print.
+   * The parts of an HTTP response that the commands use.
    *
-   * @param status the HTTP status
+   * @param status the HTTP status code
    * @param body the body as text
-   * @param headers selected response headers
+   * @param headers the response headers
    */
-  record Reply(int status, String body, io.vertx.core.MultiMap headers) {}
+  record Response(int status, String body, io.vertx.core.MultiMap headers) {}
 
-  Reply send(HttpMethod method, String url, Map<String, String> headers, String body)
+  Response send(HttpMethod method, String url, Map<String, String> headers, String body)
       throws Exception {
     var request =
         client.requestAbs(method, url).timeout(TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
@@ -31,11 +31,11 @@
     var future = body == null ? request.send() : request.sendBuffer(Buffer.buffer(body));
     HttpResponse<Buffer> response =
         future.toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-    String text = response.body() == null ? "" : response.bodyAsString();
-    return new Reply(response.statusCode(), text, response.headers());
+    String bodyText = response.body() == null ? "" : response.bodyAsString();
+    return new Response(response.statusCode(), bodyText, response.headers());
   }
 
-  Reply get(String url) throws Exception {
+  Response get(String url) throws Exception {
     return send(HttpMethod.GET, url, Map.of(), null);
   }
 
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/EndpointsCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/EndpointsCommand.java
@@ -4,18 +4,18 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Lists the endpoints an entry daemon knows, with labels, load and leases. */
-@Command(name = "endpoints", description = "List the endpoints an entry daemon knows.")
+/** Lists the endpoints recorded by an entry daemon, with labels, load and leases. */
+@Command(name = "endpoints", description = "List the endpoints recorded by an entry daemon.")
 final class EndpointsCommand implements Callable<Integer> {
   @Option(names = "--server", required = true, description = "an entry daemon's base URL")
   String server;
 
   @Override
   public Integer call() throws Exception {
-    try (Http http = new Http()) {
-      Http.Reply reply = http.get(server + "/v1/endpoints");
-      System.out.println(reply.body());
-      return reply.status() == 200 ? 0 : 1;
+    try (BlockingHttpClient http = new BlockingHttpClient()) {
+      BlockingHttpClient.Response response = http.get(server + "/v1/endpoints");
+      System.out.println(response.body());
+      return response.status() == 200 ? 0 : 1;
     }
   }
 }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/EntriesCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/EntriesCommand.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Asks any daemon which entry instances a caller in a region should use, ranked. */
+/** Prints the ranked entry instances that a caller in a region should use. */
 @Command(name = "entries", description = "List the entry instances a caller should use, ranked.")
 final class EntriesCommand implements Callable<Integer> {
   @Option(names = "--server", required = true, description = "any daemon's base URL")
@@ -15,10 +15,10 @@
 
   @Override
   public Integer call() throws Exception {
-    try (Http http = new Http()) {
-      Http.Reply reply = http.get(server + "/v1/entries?region=" + region);
-      System.out.println(reply.body());
-      return reply.status() == 200 ? 0 : 1;
+    try (BlockingHttpClient http = new BlockingHttpClient()) {
+      BlockingHttpClient.Response response = http.get(server + "/v1/entries?region=" + region);
+      System.out.println(response.body());
+      return response.status() == 200 ? 0 : 1;
     }
   }
 }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/GetCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/GetCommand.java
@@ -5,8 +5,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Prints the configuration document in force on a daemon, with its version. */
-@Command(name = "get", description = "Print the selectors in force on a daemon.")
+/** Prints the active configuration document of a daemon, with its version. */
+@Command(name = "get", description = "Print the active selectors of a daemon.")
 final class GetCommand implements Callable<Integer> {
   @Parameters(index = "0", description = "what to get: selectors")
   String what;
@@ -20,11 +20,11 @@
       System.err.println("lacewingcroft get: unknown kind '" + what + "'; use 'selectors'");
       return 2;
     }
-    try (Http http = new Http()) {
-      Http.Reply reply = http.get(server + "/v1/config");
-      System.out.println("# version " + reply.headers().get("X-Config-Version"));
-      System.out.print(reply.body());
-      return reply.status() == 200 ? 0 : 1;
+    try (BlockingHttpClient http = new BlockingHttpClient()) {
+      BlockingHttpClient.Response response = http.get(server + "/v1/config");
+      System.out.println("# version " + response.headers().get("X-Config-Version"));
+      System.out.print(response.body());
+      return response.status() == 200 ? 0 : 1;
     }
   }
 }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/LoadBenchCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/LoadBenchCommand.java
@@ -15,10 +15,10 @@
 import picocli.CommandLine.Option;
 
 /**
- * Replays the demo trace at rising rates through the demo deployment and measures the entry
- * daemons' processor time per request and per relayed token; prints a JSON line per rate.
+ * Replays the demo trace against the demo deployment at increasing rates and measures the CPU time
+ * of the entry daemons per request and per relayed token. Prints one JSON line per rate.
  */
-@Command(name = "load", description = "Entry processor time per request and token, by rate.")
+@Command(name = "load", description = "Entry CPU time per request and per token, by rate.")
 final class LoadBenchCommand implements Callable<Integer> {
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -28,10 +28,16 @@
   @Option(names = "--copies", defaultValue = "4", description = "trace copies per rate")
   int copies;
 
-  @Option(names = "--warm-ups", defaultValue = "3", description = "warm-up replays at top rate")
+  @Option(
+      names = "--warm-ups",
+      defaultValue = "3",
+      description = "warm-up replays at the highest rate")
   int warmUps;
 
-  @Option(names = "--idle-seconds", defaultValue = "5", description = "idle cost measurement")
+  @Option(
+      names = "--idle-seconds",
+      defaultValue = "5",
+      description = "duration of the idle measurement")
   int idleSeconds;
 
   @Override
@@ -42,38 +48,39 @@
                 DemoDeployment.topology(), Files.createTempDirectory("lacewingcroft-load"));
         TraceReplayer replayer = new TraceReplayer()) {
       Map<String, String> entries = deployment.entries();
-      for (int warm = 0; warm < warmUps; warm++) {
+      for (int round = 0; round < warmUps; round++) {
         replayer.replay(
             TraceRequest.scaled(base, copies, speedups.get(speedups.size() - 1)),
-            r -> entries.get(r.region() + "-entry-1"));
+            result -> entries.get(result.region() + "-entry-1"));
       }
-      long idleCpu0 = deployment.cpuNanos(n -> n.contains("-entry-"));
-      long idleWall0 = System.nanoTime();
+      long idleStartCpuNanos = deployment.cpuNanos(n -> n.contains("-entry-"));
+      long idleStartNanos = System.nanoTime();
       java.util.concurrent.TimeUnit.SECONDS.sleep(idleSeconds);
       double idleCoresPerEntry =
-          (deployment.cpuNanos(n -> n.contains("-entry-")) - idleCpu0)
-              / (double) (System.nanoTime() - idleWall0)
+          (deployment.cpuNanos(n -> n.contains("-entry-")) - idleStartCpuNanos)
+              / (double) (System.nanoTime() - idleStartNanos)
               / entries.size();
       for (double speedup : speedups) {
         List<TraceRequest> trace = TraceRequest.scaled(base, copies, speedup);
-        long cpu0 = deployment.cpuNanos(n -> n.contains("-entry-"));
-        long wall0 = System.nanoTime();
-        ReplayResult r = replayer.replay(trace, t -> entries.get(t.region() + "-entry-1"));
-        double wallSeconds = (System.nanoTime() - wall0) / 1e9;
-        long cpu = deployment.cpuNanos(n -> n.contains("-entry-")) - cpu0;
+        long startCpuNanos = deployment.cpuNanos(n -> n.contains("-entry-"));
+        long startNanos = System.nanoTime();
+        ReplayResult result = replayer.replay(trace, t -> entries.get(t.region() + "-entry-1"));
+        double wallSeconds = (System.nanoTime() - startNanos) / 1e9;
+        long cpuNanos = deployment.cpuNanos(n -> n.contains("-entry-")) - startCpuNanos;
         long tokens = trace.stream().mapToLong(TraceRequest::maxTokens).sum();
         ObjectNode line = JSON.createObjectNode();
         line.put("bench", "entry-load");
         line.put("requests", trace.size());
-        line.put("served", r.outcome("served"));
+        line.put("served", result.outcome("served"));
         line.put("requestsPerSecond", trace.size() / wallSeconds);
-        double busyNanos = cpu - idleCoresPerEntry * entries.size() * wallSeconds * 1e9;
+        double busyNanos = cpuNanos - idleCoresPerEntry * entries.size() * wallSeconds * 1e9;
         line.put("idleCoreSharePerEntry", idleCoresPerEntry);
-        line.put("entryCpuMicrosPerRequest", cpu / 1000.0 / trace.size());
+        line.put("entryCpuMicrosPerRequest", cpuNanos / 1000.0 / trace.size());
         line.put("entryCpuMicrosPerRequestAboveIdle", busyNanos / 1000.0 / trace.size());
         line.put("entryCpuMicrosPerTokenAboveIdle", busyNanos / 1000.0 / tokens);
-        line.put("firstTokenP95Millis", r.firstTokenMicros.getValueAtPercentile(95) / 1000.0);
-        line.put("betweenTokensP95Millis", r.betweenTokensMicros.getValueAtPercentile(95) / 1000.0);
+        line.put("firstTokenP95Millis", result.firstTokenMicros.getValueAtPercentile(95) / 1000.0);
+        line.put(
+            "betweenTokensP95Millis", result.betweenTokensMicros.getValueAtPercentile(95) / 1000.0);
         System.out.println(line);
       }
     }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/OutcomeCounts.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/OutcomeCounts.java
@@ -5,47 +5,48 @@
 import org.HdrHistogram.Histogram;
 import org.lacewingcroft.logs.RequestOutcome.Result;
 
-/** Requests of one group (a route, an entry, a second) by their result. */
+/** Counts the requests of one group (a route, an entry or a second) by result. */
 public final class OutcomeCounts {
-  private static final int DIGITS = 3;
+  private static final int SIGNIFICANT_DIGITS = 3;
 
   private final Map<Result, Long> counts = new EnumMap<>(Result.class);
-  private final Histogram firstByteMillis = new Histogram(DIGITS);
-  private final Histogram millis = new Histogram(DIGITS);
+  private final Histogram firstByteMillis = new Histogram(SIGNIFICANT_DIGITS);
+  private final Histogram durationMillis = new Histogram(SIGNIFICANT_DIGITS);
   private double lostWeight;
 
   /**
-   * Counts one more.
+   * Adds a request.
    *
-   * @param weight what it is worth, in any unit
+   * @param weight the weight of the request, in any unit
    */
   void add(RequestOutcome outcome, double weight) {
     counts.merge(outcome.result(), 1L, Long::sum);
     if (outcome.result() == Result.SERVED) {
       firstByteMillis.recordValue(Math.max(0, outcome.firstByteMillis()));
-      millis.recordValue(Math.max(0, outcome.millis()));
+      durationMillis.recordValue(Math.max(0, outcome.durationMillis()));
     } else {
       lostWeight += weight;
     }
   }
 
-  /** Returns how many ended so. */
+  /** Returns the number of requests with the given result. */
   public long count(Result result) {
     return counts.getOrDefault(result, 0L);
   }
 
-  /** Returns how many there are in all. */
+  /** Returns the number of requests. */
   public long total() {
     return counts.values().stream().mapToLong(Long::longValue).sum();
   }
 
-  /** Returns the weight of those that were not served. */
+  /** Returns the total weight of the requests that were not served. */
   public double lostWeight() {
     return lostWeight;
   }
 
   /**
-   * Returns the time to the first byte of those served, in ms, 0 if there are none.
+   * Returns a percentile of the time to the first byte of served requests in milliseconds, or 0 if
+   * none was served.
    *
    * @param percentile from 0 to 100
    */
@@ -54,11 +55,12 @@
   }
 
   /**
-   * Returns the time to the last byte of those served, in ms, 0 if there are none.
+   * Returns a percentile of the time to the last byte of served requests in milliseconds, or 0 if
+   * none was served.
    *
    * @param percentile from 0 to 100
    */
-  public long millis(double percentile) {
-    return millis.getValueAtPercentile(percentile);
+  public long durationMillis(double percentile) {
+    return durationMillis.getValueAtPercentile(percentile);
   }
 }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/TimelineFilter.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/TimelineFilter.java
@@ -5,39 +5,39 @@
 import java.util.Set;
 
 /**
- * Picks from a merged time line what tells one story: of a request, of an endpoint, or of a
+ * Selects the lines of a merged timeline that concern one request, one endpoint or one
  * configuration version.
  */
 public final class TimelineFilter {
-  /** How long before its request's first line news of a target is part of the story, in ms. */
-  private static final long NEWS_MILLIS = 5_000;
+  /** The time before the first line of a request from which updates are included. */
+  private static final long UPDATE_LOOKBACK_MILLIS = 5_000;
 
   private final List<LogLine> lines;
 
   /**
-   * Takes a time line.
+   * Creates a filter over a timeline.
    *
-   * @param lines in causal order
+   * @param lines the log lines in causal order
    */
   public TimelineFilter(List<LogLine> lines) {
     this.lines = lines;
   }
 
   /**
-   * Returns the story of a request: its own lines at every instance, and what those instances heard
-   * of the endpoints and the routing it met, from {@value #NEWS_MILLIS} ms before its first line to
-   * its last.
+   * Returns the lines of a request at every instance, and the endpoint and routing updates that
+   * those instances applied and that concern its targets, from {@value #UPDATE_LOOKBACK_MILLIS} ms
+   * before its first line to its last.
    */
   public List<LogLine> ofRequest(String id) {
-    List<LogLine> own = lines.stream().filter(l -> l.text("request").equals(id)).toList();
-    if (own.isEmpty()) {
-      return own;
+    List<LogLine> requestLines = lines.stream().filter(l -> l.text("request").equals(id)).toList();
+    if (requestLines.isEmpty()) {
+      return requestLines;
     }
-    long from = own.get(0).millis() - NEWS_MILLIS;
-    long until = own.get(own.size() - 1).millis();
+    long from = requestLines.get(0).millis() - UPDATE_LOOKBACK_MILLIS;
+    long until = requestLines.get(requestLines.size() - 1).millis();
     Set<String> nodes = new HashSet<>();
     Set<String> targets = new HashSet<>();
-    for (LogLine line : own) {
+    for (LogLine line : requestLines) {
       nodes.add(line.node());
       targets.add(line.text("target"));
       targets.add(line.text("fetchFrom"));
@@ -49,11 +49,11 @@
                     || nodes.contains(l.node())
                         && l.millis() >= from
                         && l.millis() <= until
-                        && isNewsOf(l, targets))
+                        && isUpdateOf(l, targets))
         .toList();
   }
 
-  private static boolean isNewsOf(LogLine line, Set<String> targets) {
+  private static boolean isUpdateOf(LogLine line, Set<String> targets) {
     return switch (line.event()) {
       case "endpoint.changed" -> targets.contains(line.text("endpoint"));
       case "routing.in_force" -> true;
@@ -61,16 +61,16 @@
     };
   }
 
-  /** Returns what every instance said of an endpoint, all its incarnations. */
+  /** Returns the lines of all instances about all incarnations of an endpoint. */
   public List<LogLine> ofEndpoint(String id) {
-    return lines.stream().filter(l -> l.text("endpoint").equals(id) && !isRequest(l)).toList();
+    return lines.stream().filter(l -> l.text("endpoint").equals(id) && !isRequestLine(l)).toList();
   }
 
-  private static boolean isRequest(LogLine line) {
+  private static boolean isRequestLine(LogLine line) {
     return line.event().startsWith("request.");
   }
 
-  /** Returns how a configuration version was committed and where it came into force. */
+  /** Returns the lines about the commit and the activation of a configuration version. */
   public List<LogLine> ofVersion(String version) {
     return lines.stream().filter(l -> l.text("version").equals(version)).toList();
   }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/TrafficReport.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/TrafficReport.java
@@ -7,30 +7,31 @@
 import java.util.TreeMap;
 
 /**
- * What the messages between instances cost, by kind, from the accounts that each instance logs from
- * time to time. An account counts from the instance's start, so of each start the last one stands.
+ * Sums the messages between instances by kind, from the cumulative counters that each instance logs
+ * periodically. The counters start at 0 when an instance starts, so the last values of each start
+ * are summed.
  */
 public final class TrafficReport {
   private static final String TRAFFIC = "peer.traffic";
   private static final int MICROS_PER_MILLI = 1_000;
 
   private final Map<String, Totals> byKind = new TreeMap<>();
-  private final Map<Instance, Totals> lastOf = new HashMap<>();
+  private final Map<CounterKey, Totals> latestTotals = new HashMap<>();
 
-  private record Instance(String node, String kind) {}
+  private record CounterKey(String node, String kind) {}
 
   /**
-   * Totals of one kind of message.
+   * Message counters of one kind of message.
    *
-   * @param sent messages sent
-   * @param sentBytes their bytes
-   * @param received messages received
-   * @param receivedBytes their bytes
-   * @param workMicros time spent on them
+   * @param sent the number of messages sent
+   * @param sentBytes the size of the messages sent, in bytes
+   * @param received the number of messages received
+   * @param receivedBytes the size of the messages received, in bytes
+   * @param workMicros the time spent processing the messages, in microseconds
    */
   public record Totals(
       long sent, long sentBytes, long received, long receivedBytes, long workMicros) {
-    private static final Totals NONE = new Totals(0, 0, 0, 0, 0);
+    private static final Totals ZERO = new Totals(0, 0, 0, 0, 0);
 
     private static Totals of(LogLine line) {
       return new Totals(
@@ -59,28 +60,28 @@
           workMicros - other.workMicros);
     }
 
-    /** Returns whether this account cannot continue an earlier one: the instance was restarted. */
-    private boolean startsAnew(Totals earlier) {
+    /** Returns whether a counter is below its earlier value, because the instance restarted. */
+    private boolean isAfterRestart(Totals earlier) {
       return sent < earlier.sent || received < earlier.received;
     }
   }
 
   /**
-   * Reads the accounts.
+   * Reads the logged counters.
    *
-   * @param lines of all instances, in causal order
+   * @param lines the log lines of all instances, in causal order
    */
   public TrafficReport(List<LogLine> lines) {
-    lines.stream().filter(line -> line.event().equals(TRAFFIC)).forEach(this::read);
+    lines.stream().filter(line -> line.event().equals(TRAFFIC)).forEach(this::addLine);
   }
 
-  private void read(LogLine line) {
-    Instance instance = new Instance(line.node(), line.text("kind"));
-    Totals account = Totals.of(line);
-    Totals earlier = lastOf.getOrDefault(instance, Totals.NONE);
-    Totals added = account.startsAnew(earlier) ? account : account.minus(earlier);
-    byKind.merge(instance.kind(), added, Totals::plus);
-    lastOf.put(instance, account);
+  private void addLine(LogLine line) {
+    CounterKey counterKey = new CounterKey(line.node(), line.text("kind"));
+    Totals totals = Totals.of(line);
+    Totals earlier = latestTotals.getOrDefault(counterKey, Totals.ZERO);
+    Totals added = totals.isAfterRestart(earlier) ? totals : totals.minus(earlier);
+    byKind.merge(counterKey.kind(), added, Totals::plus);
+    latestTotals.put(counterKey, totals);
   }
 
   /** Returns the totals of all instances by kind of message. */
@@ -88,7 +89,7 @@
     return Map.copyOf(byKind);
   }
 
-  /** Returns the report as text, empty if no instance logged an account. */
+  /** Returns the report as text, or an empty string if no instance logged its counters. */
   public String text() {
     if (byKind.isEmpty()) {
       return "";
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/cli/HelpTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/cli/HelpTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import picocli.CommandLine;
 
-/** Every command, however deep, explains itself and tells its version. */
+/** Tests that every command and nested subcommand supports --help and --version. */
 class HelpTest {
   static Stream<String> commands() {
     List<String> paths = new ArrayList<>();
@@ -30,13 +30,13 @@
 
   @ParameterizedTest
   @MethodSource("commands")
-  void explainsItself(String path) {
+  void supportsHelp(String path) {
     assertThat(run(path, "--help"), containsString("Usage: lacewingcroft"));
   }
 
   @ParameterizedTest
   @MethodSource("commands")
-  void tellsItsVersion(String path) {
+  void supportsVersion(String path) {
     assertThat(run(path, "--version"), containsString("lacewingcroft 0."));
   }
 
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/ServiceReportTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/ServiceReportTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.lacewingcroft.logs.RequestOutcome.Result;
 
-/** What callers got is read from the entries' lines, each request once. */
+/** Tests that each request is counted once, with its result taken from the entries' log lines. */
 class ServiceReportTest {
-  static Stream<Arguments> ends() {
+  static Stream<Arguments> finishedRequests() {
     return Stream.of(
         Arguments.of("served", 200, true, Result.SERVED, ""),
         Arguments.of("served", 404, true, Result.SERVED, ""),
@@ -29,8 +29,9 @@
   }
 
   @ParameterizedTest
-  @MethodSource("ends")
-  void endIsToldApart(String outcome, int status, boolean mayHaveRun, Result result, String cause) {
+  @MethodSource("finishedRequests")
+  void classifiesResultAndCause(
+      String outcome, int status, boolean mayHaveRun, Result result, String cause) {
     List<RequestOutcome> outcomes =
         outcomes(SampleLog.finished(100, "north-1", "r-1", outcome, status, mayHaveRun));
     assertThat(outcomes, hasSize(1));
@@ -39,7 +40,7 @@
   }
 
   @Test
-  void relayedRequestCountsOnceWhereItsCallerAsked() {
+  void countsRelayedRequestOnceAtItsFirstEntry() {
     List<RequestOutcome> outcomes =
         outcomes(
             SampleLog.relayed(10, "north-1", "r-1", "south-1"),
@@ -53,7 +54,7 @@
   }
 
   @Test
-  void causeNamesTheLastTryThatFailed() {
+  void causeNamesTheLastFailedAttempt() {
     List<RequestOutcome> outcomes =
         outcomes(
             SampleLog.placed(10, "north-1", "r-1", "i-1"),
@@ -62,12 +63,12 @@
             SampleLog.placed(16, "north-1", "r-1", "i-2"),
             SampleLog.line(17, "north-1", "request.try_failed", "request", "r-1", "what", "broken"),
             SampleLog.finished(20, "north-1", "r-1", "the endpoint failed", 502, true));
-    assertThat(outcomes.get(0).cause(), is("the endpoint failed, after a try: broken"));
+    assertThat(outcomes.get(0).cause(), is("the endpoint failed, after a failed attempt: broken"));
     assertThat(outcomes.get(0).target(), is("i-2"));
   }
 
   @Test
-  void lossIsWeighedAndTheWorstStandsFirst() {
+  void weighsRequestsNotServedAndSortsByWeight() {
     ServiceReport report =
         new ServiceReport(
             outcomes(
@@ -75,7 +76,7 @@
                 SampleLog.finished(1_200, "south-1", "r-2", "no answer in time", 504, true),
                 SampleLog.finished(1_300, "south-1", "r-3", "served", 200, true)),
             Map.of("chat", 2.5));
-    OutcomeCounts second = report.bySecond().get(1L);
+    OutcomeCounts second = report.countsBySecond().get(1L);
     assertThat(second.count(Result.FAILED), is(1L));
     assertThat(second.count(Result.SERVED), is(1L));
     assertThat(second.lostWeight(), is(2.5));
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ConfigBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ConfigBench.java
@@ -18,17 +18,18 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Applies configuration changes to a local deployment while its daemons are killed, frozen, cut off
- * and robbed of their disks, with operators racing each other and resending, and measures how long
- * a change takes to be in force everywhere and whether any was lost or reverted.
+ * Applies configuration changes to a local deployment while daemons are killed, frozen and
+ * partitioned and lose their disks. Some changes are sent concurrently with a conflicting one, and
+ * some are resent. Measures the time until a change is active on all daemons, and whether any
+ * change was lost or reverted.
  */
 public final class ConfigBench {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final int RACE_EVERY = 5;
-  private static final int RESEND_EVERY = 7;
+  private static final int CHANGES_PER_RACE = 5;
+  private static final int CHANGES_PER_RESEND = 7;
   private static final int MAX_SENDS = 60;
   private static final long RETRY_MILLIS = 200;
-  private static final Duration RECOVERY = Duration.ofSeconds(5);
+  private static final Duration RECOVERY_TIME = Duration.ofSeconds(5);
 
   private final Options options;
   private final Consumer<String> out;
@@ -41,14 +42,14 @@
   private int wrongResends;
 
   /**
-   * What to run.
+   * The parameters of a run.
    *
-   * @param changes how many changes to have accepted
-   * @param controls control daemons, 3 or 5
-   * @param delayMillis injected one-way delay between regions
-   * @param intervalMillis pause between changes
-   * @param faults whether daemons are disturbed
-   * @param seed the seed of faults and races
+   * @param changes the number of changes to apply
+   * @param controls the number of control daemons, 3 or 5
+   * @param delayMillis the injected one-way delay between regions, in milliseconds
+   * @param intervalMillis the pause between changes, in milliseconds
+   * @param faults whether faults are injected
+   * @param seed the seed of the random choices of faults and control daemons
    */
   public record Options(
       int changes,
@@ -70,7 +71,7 @@
     LOSE_DISK
   }
 
-  /** Creates the bench writing its report to the given sink. */
+  /** Creates a benchmark that writes its report to the given consumer. */
   public ConfigBench(Options options, Consumer<String> out) {
     this.options = options;
     this.out = out;
@@ -78,10 +79,10 @@
   }
 
   /**
-   * Runs the bench.
+   * Runs the benchmark.
    *
-   * @param workDir folder for logs and data
-   * @return whether no accepted change was lost or reverted
+   * @param workDir the directory for logs and data
+   * @return whether no accepted change was lost or reverted, and all daemons have the same document
    * @throws Exception if the deployment does not start
    */
   public boolean run(Path workDir) throws Exception {
@@ -101,39 +102,40 @@
       for (String node : nodes) {
         started.injectFaults(node, Set.of(), options.delayMillis());
       }
-      try (VersionWatch watch = new VersionWatch(started, nodes)) {
-        return runWatched(watch, nodes);
+      try (VersionWatcher watcher = new VersionWatcher(started, nodes)) {
+        return runWatched(watcher, nodes);
       }
     }
   }
 
-  private boolean runWatched(VersionWatch watch, List<String> nodes) throws Exception {
-    Thread faults = new Thread(this::disturb, "faults");
+  private boolean runWatched(VersionWatcher watcher, List<String> nodes) throws Exception {
+    Thread faults = new Thread(this::injectFaults, "faults");
     if (options.faults()) {
       faults.start();
     }
     long version = deployment.client().configVersion(anyControl());
     for (int i = 0; i < options.changes(); i++) {
-      version = i % RACE_EVERY == 0 ? race(i, version) : applied("change-" + i, version);
-      if (i % RESEND_EVERY == 0) {
+      version =
+          i % CHANGES_PER_RACE == 0 ? race(i, version) : applyUntilAccepted("change-" + i, version);
+      if (i % CHANGES_PER_RESEND == 0) {
         resendLast();
       }
       TimeUnit.MILLISECONDS.sleep(options.intervalMillis());
     }
     faults.interrupt();
     faults.join();
-    long last = accepted.get(accepted.size() - 1).version();
+    long lastVersion = accepted.get(accepted.size() - 1).version();
     for (String node : nodes) {
       LocalDeployment.awaitCondition(
-          node + " has version " + last,
-          () -> deployment.client().configVersion(deployment.urlOf(node)) >= last);
+          node + " has version " + lastVersion,
+          () -> deployment.client().configVersion(deployment.urlOf(node)) >= lastVersion);
     }
-    long differing =
+    long distinctDocuments =
         nodes.stream()
             .map(node -> deployment.client().configDocument(deployment.urlOf(node)))
             .distinct()
             .count();
-    return report(watch, nodes, lostChanges()) && differing == 1;
+    return report(watcher, nodes, lostChanges()) && distinctDocuments == 1;
   }
 
   private static String document(String changeId) {
@@ -145,13 +147,13 @@
     return urls.get(random.nextInt(urls.size()));
   }
 
-  /** Sends a change to any control daemon: two of three as patches, the others whole. */
-  private Optional<HttpResponse<String>> put(String changeId, long expected) {
+  /** Sends a change to a random control daemon: about two of three as patches, the rest as PUT. */
+  private Optional<HttpResponse<String>> sendChange(String changeId, long expected) {
     boolean patch = Math.floorMod(changeId.hashCode(), 3) != 0;
     return patch
         ? deployment
             .client()
-            .change(
+            .sendChange(
                 DaemonClient.ChangeKind.PATCH,
                 anyControl(),
                 changeId,
@@ -159,16 +161,16 @@
                 "organisations: [{name: " + changeId + "}]")
         : deployment
             .client()
-            .change(
+            .sendChange(
                 DaemonClient.ChangeKind.PUT, anyControl(), changeId, expected, document(changeId));
   }
 
-  /** Sends a change until it is accepted, rebasing on conflicts, and returns its version. */
-  private long applied(String changeId, long expectedVersion) throws Exception {
+  /** Sends a change until it is accepted, rebases it on conflicts and returns its version. */
+  private long applyUntilAccepted(String changeId, long expectedVersion) throws Exception {
     long expected = expectedVersion;
     for (int rebase = 0; rebase < MAX_SENDS; rebase++) {
       String id = rebase == 0 ? changeId : changeId + "-rebased-" + rebase;
-      Optional<Long> version = sendUntilAnswered(id, expected);
+      Optional<Long> version = sendUntilFinal(id, expected);
       if (version.isPresent()) {
         return version.get();
       }
@@ -185,17 +187,17 @@
   }
 
   /**
-   * Sends one change, resending the same id to other control daemons while the answer is lost or a
-   * refusal to retry; returns its version, or empty on a conflict.
+   * Sends a change and resends it with the same id to random control daemons while the response is
+   * lost or retryable. Returns the version of the change, or empty on a conflict.
    */
-  private Optional<Long> sendUntilAnswered(String changeId, long expected) throws Exception {
+  private Optional<Long> sendUntilFinal(String changeId, long expected) throws Exception {
     final long sentNanos = System.nanoTime();
     for (int send = 0; send < MAX_SENDS; send++) {
-      Optional<HttpResponse<String>> answer = put(changeId, expected);
-      int status = answer.map(HttpResponse::statusCode).orElse(0);
+      Optional<HttpResponse<String>> response = sendChange(changeId, expected);
+      int status = response.map(HttpResponse::statusCode).orElse(0);
       if (status == 200) {
-        long version = DaemonClient.acceptedVersion(answer);
-        note(new Accepted(changeId, version, sentNanos, System.nanoTime()));
+        long version = DaemonClient.acceptedVersion(response);
+        recordAccepted(new Accepted(changeId, version, sentNanos, System.nanoTime()));
         return Optional.of(version);
       }
       if (status == 409) {
@@ -204,10 +206,10 @@
       }
       TimeUnit.MILLISECONDS.sleep(RETRY_MILLIS);
     }
-    throw new IllegalStateException(changeId + " got no answer");
+    throw new IllegalStateException(changeId + " received no final response");
   }
 
-  private synchronized void note(Accepted change) {
+  private synchronized void recordAccepted(Accepted change) {
     accepted.add(change);
   }
 
@@ -215,25 +217,26 @@
     conflicts++;
   }
 
-  /** Two operators send different changes based on the same version; returns the newest version. */
+  /** Sends two conflicting changes based on one version and returns the newest accepted version. */
   private long race(int i, long expected) throws Exception {
-    CompletableFuture<Optional<Long>> rival =
+    CompletableFuture<Optional<Long>> rivalChange =
         CompletableFuture.supplyAsync(
             () -> {
               try {
-                return sendUntilAnswered("rival-" + i, expected);
+                return sendUntilFinal("rival-" + i, expected);
               } catch (Exception e) {
                 throw new IllegalStateException(e);
               }
             });
-    Optional<Long> mine = sendUntilAnswered("change-" + i, expected);
-    Optional<Long> theirs = rival.get(120, TimeUnit.SECONDS);
-    if (mine.isPresent() && theirs.isPresent()) {
-      throw new IllegalStateException("both changes racing on version " + expected + " won");
+    Optional<Long> ownVersion = sendUntilFinal("change-" + i, expected);
+    Optional<Long> rivalVersion = rivalChange.get(120, TimeUnit.SECONDS);
+    if (ownVersion.isPresent() && rivalVersion.isPresent()) {
+      throw new IllegalStateException(
+          "both concurrent changes of version " + expected + " were accepted");
     }
-    return mine.or(() -> theirs).isPresent()
-        ? mine.or(() -> theirs).get()
-        : applied("after-race-" + i, highestVersion());
+    return ownVersion.or(() -> rivalVersion).isPresent()
+        ? ownVersion.or(() -> rivalVersion).get()
+        : applyUntilAccepted("after-race-" + i, highestVersion());
   }
 
   private void resendLast() throws Exception {
@@ -243,14 +246,14 @@
     }
   }
 
-  /** Resends an accepted change and returns the version it is answered with. */
+  /** Resends an accepted change and returns the accepted version, or -1 if there is none. */
   private long resend(Accepted change) throws Exception {
     resends++;
     for (int send = 0; send < MAX_SENDS; send++) {
-      Optional<HttpResponse<String>> answer = put(change.changeId(), change.version() - 1);
-      int status = answer.map(HttpResponse::statusCode).orElse(0);
+      Optional<HttpResponse<String>> response = sendChange(change.changeId(), change.version() - 1);
+      int status = response.map(HttpResponse::statusCode).orElse(0);
       if (status == 200 || status == 409) {
-        return DaemonClient.acceptedVersion(answer);
+        return DaemonClient.acceptedVersion(response);
       }
       TimeUnit.MILLISECONDS.sleep(RETRY_MILLIS);
     }
@@ -268,8 +271,8 @@
     return lost;
   }
 
-  /** Disturbs one daemon or region after another until interrupted. */
-  private void disturb() {
+  /** Injects one fault after another until the thread is interrupted. */
+  private void injectFaults() {
     Fault[] faults = Fault.values();
     int next = 0;
     try {
@@ -279,7 +282,7 @@
         TimeUnit.MILLISECONDS.sleep(1_500);
       }
     } catch (InterruptedException e) {
-      // The run is over.
+      // The run is complete.
     } catch (Exception e) {
       out.accept("fault injection failed: " + e);
     }
@@ -290,7 +293,7 @@
     List<String> entries = new ArrayList<>(deployment.entries().keySet());
     String control = controls.get(random.nextInt(controls.size()));
     final String entry = entries.get(random.nextInt(entries.size()));
-    final long from = System.nanoTime();
+    final long fromNanos = System.nanoTime();
     switch (fault) {
       case KILL_CONTROL -> killFor(control, 700);
       case KILL_ENTRY -> killFor(entry, 300);
@@ -298,49 +301,49 @@
         deployment.pause(control);
         sleepUninterrupted(2_500);
         deployment.resume(control);
-        disturbed(control, from);
+        recordDisturbance(control, fromNanos);
       }
-      case CUT_REGION -> cutRegion(DemoDeployment.REGIONS.get(random.nextInt(3)), from);
+      case CUT_REGION -> cutRegion(DemoDeployment.REGIONS.get(random.nextInt(3)), fromNanos);
       default -> {
         deployment.kill(control);
         deployment.loseDisk(control);
-        restart(control, from);
+        restart(control, fromNanos);
       }
     }
   }
 
   private void killFor(String node, long downMillis) throws Exception {
-    long from = System.nanoTime();
+    long fromNanos = System.nanoTime();
     deployment.kill(node);
     sleepUninterrupted(downMillis);
-    restart(node, from);
+    restart(node, fromNanos);
   }
 
   private void restart(String node, long fromNanos) throws Exception {
     deployment.restart(node);
     deployment.injectFaults(node, Set.of(), options.delayMillis());
-    disturbed(node, fromNanos);
+    recordDisturbance(node, fromNanos);
   }
 
   private void cutRegion(String region, long fromNanos) throws Exception {
     Map<String, String> regions = deployment.regionsByNode();
     for (Map.Entry<String, String> node : regions.entrySet()) {
-      Set<String> cut =
+      Set<String> cutRegions =
           node.getValue().equals(region)
               ? Set.copyOf(DemoDeployment.REGIONS.stream().filter(r -> !r.equals(region)).toList())
               : Set.of(region);
-      deployment.injectFaults(node.getKey(), cut, options.delayMillis());
+      deployment.injectFaults(node.getKey(), cutRegions, options.delayMillis());
     }
     sleepUninterrupted(2_500);
     for (Map.Entry<String, String> node : regions.entrySet()) {
       deployment.injectFaults(node.getKey(), Set.of(), options.delayMillis());
       if (node.getValue().equals(region)) {
-        disturbed(node.getKey(), fromNanos);
+        recordDisturbance(node.getKey(), fromNanos);
       }
     }
   }
 
-  /** Sleeps so that an interrupt ends the run only after the fault was undone. */
+  /** Sleeps without interruption, so that an interrupt takes effect after the fault is undone. */
   private static void sleepUninterrupted(long millis) {
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
     boolean interrupted = false;
@@ -356,30 +359,31 @@
     }
   }
 
-  private void disturbed(String node, long fromNanos) {
-    long until = System.nanoTime() + RECOVERY.toNanos();
+  private void recordDisturbance(String node, long fromNanos) {
+    long until = System.nanoTime() + RECOVERY_TIME.toNanos();
     synchronized (disturbances) {
       disturbances.get(node).add(new Disturbance(fromNanos, until));
     }
   }
 
-  private boolean calm(String node, long fromNanos, long untilNanos) {
+  private boolean isUndisturbed(String node, long fromNanos, long untilNanos) {
     return disturbances.get(node).stream()
         .noneMatch(d -> d.fromNanos() <= untilNanos && fromNanos <= d.untilNanos());
   }
 
-  private boolean report(VersionWatch watch, List<String> nodes, long lost) {
+  private boolean report(VersionWatcher watcher, List<String> nodes, long lostChanges) {
     Histogram fromSend = new Histogram(3_600_000L, 3);
     Histogram fromAck = new Histogram(3_600_000L, 3);
-    long excluded = 0;
+    long excludedPairs = 0;
     for (Accepted change : accepted) {
       long everywhereNanos = change.ackedNanos();
       for (String node : nodes) {
-        long at = watch.inForceAtNanos(node, change.version()).orElse(Long.MAX_VALUE);
-        if (calm(node, change.sentNanos(), at)) {
-          everywhereNanos = Math.max(everywhereNanos, at);
+        long activeAtNanos =
+            watcher.activeSinceNanos(node, change.version()).orElse(Long.MAX_VALUE);
+        if (isUndisturbed(node, change.sentNanos(), activeAtNanos)) {
+          everywhereNanos = Math.max(everywhereNanos, activeAtNanos);
         } else {
-          excluded++;
+          excludedPairs++;
         }
       }
       fromSend.recordValue((everywhereNanos - change.sentNanos()) / 1_000_000);
@@ -395,14 +399,14 @@
     line.put("conflicts", conflicts);
     line.put("resends", resends);
     line.put("wrongResends", wrongResends);
-    line.put("lost", lost);
-    line.put("reverts", watch.reverts());
+    line.put("lost", lostChanges);
+    line.put("reverts", watcher.reverts());
     line.put("inForceFromAckP50Millis", fromAck.getValueAtPercentile(50));
     line.put("inForceFromAckP99Millis", fromAck.getValueAtPercentile(99));
     line.put("inForceFromSendP50Millis", fromSend.getValueAtPercentile(50));
     line.put("inForceFromSendP99Millis", fromSend.getValueAtPercentile(99));
-    line.put("disturbedPairsLeftOut", excluded);
+    line.put("disturbedPairsLeftOut", excludedPairs);
     out.accept(line.toString());
-    return lost == 0 && wrongResends == 0 && watch.reverts() == 0;
+    return lostChanges == 0 && wrongResends == 0 && watcher.reverts() == 0;
   }
 }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/LocalDeployment.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/LocalDeployment.java
@@ -16,12 +16,13 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Starts a whole deployment on loopback as separate OS processes: control daemons, entry daemons
- * per region and stand-in runners, each on ports it chose itself and reported in a port file.
- * Closing it stops every process gracefully (SIGTERM), entries and stand-ins first.
+ * Starts a complete deployment on the loopback interface as separate OS processes: control daemons,
+ * entry daemons per region and stand-in runners. Each process chooses its own ports and reports
+ * them in a port file. Closing the deployment stops every process gracefully (SIGTERM), entries and
+ * stand-ins first.
  *
- * <p>This is the demo's and the end-to-end tests' launcher, not part of the system: in production
- * each daemon is started by the instance's own service manager.
+ * <p>This is the launcher of the demo, the benchmarks and the end-to-end tests. In production each
+ * daemon is started by the service manager of its host.
  */
 public final class LocalDeployment implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -45,14 +46,14 @@
   /**
    * A group of stand-in runners in one process.
    *
-   * @param idPrefix runner ids are {@code <idPrefix>-<n>}
+   * @param idPrefix the prefix of the runner ids, which are {@code <idPrefix>-<n>}
    * @param kind {@code engine} or {@code service}
-   * @param region the region
-   * @param runners how many runners
+   * @param region the region of the runners
+   * @param runners the number of runners
    * @param model the model or service name
-   * @param labels labels to announce
-   * @param capacity concurrent requests per runner
-   * @param extraArgs further flags of the stand-in
+   * @param labels the announced labels
+   * @param capacity the number of concurrent requests per runner
+   * @param extraArgs additional command-line flags of the stand-in
    */
   public record StandinGroup(
       String idPrefix,
@@ -64,7 +65,7 @@
       int capacity,
       List<String> extraArgs) {
 
-    /** Creates a group without further flags. */
+    /** Creates a group without additional flags. */
     public StandinGroup(
         String idPrefix,
         String kind,
@@ -78,14 +79,14 @@
   }
 
   /**
-   * What to start.
+   * The processes of a deployment and its configuration.
    *
-   * @param regions region names
-   * @param entriesPerRegion entry daemons per region
-   * @param controls control daemons (in the first regions, round robin)
-   * @param standins stand-in groups
-   * @param configDocument the selectors document applied once the control role is up
-   * @param daemonArgs further flags for every daemon
+   * @param regions the names of the regions
+   * @param entriesPerRegion the number of entry daemons per region
+   * @param controls the number of control daemons, assigned to the regions round robin
+   * @param standins the groups of stand-in runners
+   * @param configDocument the selectors document that is applied after the start of the daemons
+   * @param daemonArgs additional command-line flags of every daemon
    */
   public record Topology(
       List<String> regions,
@@ -94,14 +95,14 @@
       List<StandinGroup> standins,
       String configDocument,
       List<String> daemonArgs) {
-    /** Copies the lists so the topology is immutable. */
+    /** Copies the lists so that the topology is immutable. */
     public Topology {
       regions = List.copyOf(regions);
       standins = List.copyOf(standins);
       daemonArgs = List.copyOf(daemonArgs);
     }
 
-    /** Returns this topology with further flags for every daemon. */
+    /** Returns this topology with additional flags for every daemon. */
     public Topology withDaemonArgs(String... more) {
       List<String> all = new ArrayList<>(daemonArgs);
       all.addAll(List.of(more));
@@ -123,23 +124,23 @@
   }
 
   /**
-   * Starts the deployment and waits until every entry knows the configuration and its region's
-   * endpoints.
+   * Starts a deployment and waits until every entry has applied the configuration and recorded the
+   * endpoints of its region.
    *
-   * @param topology what to start
-   * @param workDir folder for logs, port files and data folders
+   * @param topology the processes to start and their configuration
+   * @param workDir the directory for logs, port files and data directories
    * @return the running deployment
-   * @throws Exception if a process does not come up within the start timeout
+   * @throws Exception if a process does not start within {@link #START_TIMEOUT}
    */
   public static LocalDeployment start(Topology topology, Path workDir) throws Exception {
-    LocalDeployment d = new LocalDeployment(topology, workDir);
+    LocalDeployment deployment = new LocalDeployment(topology, workDir);
     try {
-      d.startAll();
+      deployment.startAll();
     } catch (Exception e) {
-      d.close();
+      deployment.close();
       throw e;
     }
-    return d;
+    return deployment;
   }
 
   private void startAll() throws Exception {
@@ -167,7 +168,7 @@
     }
   }
 
-  /** Waits until an entry is ready and knows as many endpoints as its region has runners. */
+  /** Waits until an entry is ready and has recorded an endpoint for each runner of its region. */
   public void awaitEndpoints(String node) throws Exception {
     awaitCondition(node + " is ready", () -> client.isReady(urlOf(node)));
     String region = entryRegionByNode.get(node);
@@ -177,7 +178,8 @@
             .mapToInt(StandinGroup::runners)
             .sum();
     awaitCondition(
-        node + " knows " + expected + " endpoints", () -> endpoints(node).size() >= expected);
+        node + " has recorded " + expected + " endpoints",
+        () -> endpoints(node).size() >= expected);
   }
 
   private void startControl(String node, List<String> group, String region) throws Exception {
@@ -206,23 +208,23 @@
     return args;
   }
 
-  /** Starts a daemon on free ports; a restart reuses them and leaves out the first-start flags. */
+  /** Starts a daemon on free ports. A restart reuses the ports and omits the first-start flags. */
   private JsonNode startDaemon(String node, List<String> args, List<String> firstStartArgs)
       throws Exception {
     Path portFile = workDir.resolve(node + ".ports");
-    List<String> first = new ArrayList<>(args);
-    first.addAll(firstStartArgs);
-    first.addAll(List.of("--port-file", portFile.toString()));
+    List<String> argsOfFirstStart = new ArrayList<>(args);
+    argsOfFirstStart.addAll(firstStartArgs);
+    argsOfFirstStart.addAll(List.of("--port-file", portFile.toString()));
     if (!controlPeers.isEmpty()) {
-      first.addAll(List.of("--peers", String.join(",", controlPeers)));
+      argsOfFirstStart.addAll(List.of("--peers", String.join(",", controlPeers)));
     }
-    launch(node, DAEMON_MAIN, first);
+    launch(node, DAEMON_MAIN, argsOfFirstStart);
     JsonNode ports = awaitPorts(node);
-    List<String> again = new ArrayList<>(args);
-    again.addAll(List.of("--port-file", portFile.toString()));
-    again.addAll(List.of("--http-port", ports.get("http").asText()));
-    again.addAll(List.of("--peer-port", ports.get("peer").asText()));
-    restartArgs.put(node, again);
+    List<String> argsOfRestart = new ArrayList<>(args);
+    argsOfRestart.addAll(List.of("--port-file", portFile.toString()));
+    argsOfRestart.addAll(List.of("--http-port", ports.get("http").asText()));
+    argsOfRestart.addAll(List.of("--peer-port", ports.get("peer").asText()));
+    restartArgs.put(node, argsOfRestart);
     return ports;
   }
 
@@ -236,31 +238,31 @@
     return workDir.resolve(node + "-data");
   }
 
-  private void startStandins(StandinGroup g) throws Exception {
+  private void startStandins(StandinGroup group) throws Exception {
     List<String> gateways =
         entryUrlByNode.entrySet().stream()
-            .filter(e -> entryRegionByNode.get(e.getKey()).equals(g.region()))
+            .filter(e -> entryRegionByNode.get(e.getKey()).equals(group.region()))
             .map(Map.Entry::getValue)
             .toList();
     List<String> args = new ArrayList<>();
     args.addAll(
         List.of(
-            "--kind", g.kind(),
-            "--id-prefix", g.idPrefix(),
-            "--runners", Integer.toString(g.runners()),
-            "--region", g.region(),
-            "--failure-domain", g.region() + "-a",
+            "--kind", group.kind(),
+            "--id-prefix", group.idPrefix(),
+            "--runners", Integer.toString(group.runners()),
+            "--region", group.region(),
+            "--failure-domain", group.region() + "-a",
             "--announce", String.join(",", gateways),
-            "--model", g.model(),
-            "--capacity", Integer.toString(g.capacity()),
-            "--port-file", workDir.resolve(g.idPrefix() + ".ports").toString()));
-    args.addAll(g.extraArgs());
-    g.labels().forEach((k, v) -> args.addAll(List.of("--label", k + "=" + v)));
-    launch(g.idPrefix(), STANDIN_MAIN, args);
-    noteStandinUrls(g.idPrefix(), awaitPorts(g.idPrefix()));
+            "--model", group.model(),
+            "--capacity", Integer.toString(group.capacity()),
+            "--port-file", workDir.resolve(group.idPrefix() + ".ports").toString()));
+    args.addAll(group.extraArgs());
+    group.labels().forEach((k, v) -> args.addAll(List.of("--label", k + "=" + v)));
+    launch(group.idPrefix(), STANDIN_MAIN, args);
+    recordStandinUrls(group.idPrefix(), awaitPorts(group.idPrefix()));
   }
 
-  private void noteStandinUrls(String group, JsonNode ports) {
+  private void recordStandinUrls(String group, JsonNode ports) {
     List<String> urls = new ArrayList<>();
     ports.forEach(n -> urls.add(n.asText()));
     standinUrls.put(group, urls);
@@ -271,15 +273,15 @@
         new DeploymentProcess(name, mainClass, workDir.resolve(name + ".log"));
     processes.put(name, process);
     restartArgs.put(name, args);
-    run(process, args);
+    startProcess(process, args);
   }
 
-  private void run(DeploymentProcess process, List<String> args) throws IOException {
+  private void startProcess(DeploymentProcess process, List<String> args) throws IOException {
     Files.deleteIfExists(workDir.resolve(process.name() + ".ports"));
     process.start(args);
   }
 
-  /** Kills a process at once (SIGKILL). */
+  /** Kills a process with SIGKILL. */
   public void kill(String name) throws InterruptedException {
     processes.get(name).kill();
   }
@@ -290,16 +292,16 @@
     return processes.get(name).awaitExit();
   }
 
-  /** Starts a killed or stopped process again, a daemon at its old addresses. */
+  /** Restarts a killed or stopped process. A daemon keeps its previous addresses. */
   public void restart(String name) throws Exception {
     List<String> args = new ArrayList<>(restartArgs.get(name));
     if (!standinUrls.containsKey(name)) {
       args.addAll(List.of("--peers", String.join(",", controlPeers)));
     }
-    run(processes.get(name), args);
+    startProcess(processes.get(name), args);
     JsonNode ports = awaitPorts(name);
     if (standinUrls.containsKey(name)) {
-      noteStandinUrls(name, ports);
+      recordStandinUrls(name, ports);
     }
   }
 
@@ -308,12 +310,12 @@
     processes.get(name).signal("STOP");
   }
 
-  /** Lets a frozen process go on (SIGCONT). */
+  /** Resumes a frozen process (SIGCONT). */
   public void resume(String name) throws Exception {
     processes.get(name).signal("CONT");
   }
 
-  /** Empties the data folder of a stopped control daemon, as a lost disk does. */
+  /** Deletes the data files of a stopped control daemon, which simulates a lost disk. */
   public void loseDisk(String node) throws IOException {
     try (var files = Files.list(dataDir(node))) {
       for (Path file : files.toList()) {
@@ -323,18 +325,18 @@
   }
 
   /**
-   * Returns the sum of a counter over the engines' {@code GET /v1/stats}, in the running groups.
+   * Returns the sum of a counter in {@code GET /v1/stats} over the engines of the running groups.
    */
   public long engineCounter(String counter) {
     return standinUrls.entrySet().stream()
         .filter(group -> !processes.get(group.getKey()).stopped())
         .flatMap(group -> group.getValue().stream())
-        .flatMap(url -> client.document(url + "/v1/stats").stream())
+        .flatMap(url -> client.getJson(url + "/v1/stats").stream())
         .mapToLong(stats -> stats.path(counter).asLong())
         .sum();
   }
 
-  /** Returns the client of this deployment's daemons. */
+  /** Returns the client that is used for the daemons of this deployment. */
   public DaemonClient client() {
     return client;
   }
@@ -353,7 +355,7 @@
    * Applies a configuration document, resending the same change to each control daemon in turn
    * until one accepts it.
    *
-   * @return the version it got
+   * @return the version of the accepted configuration
    */
   public long applyConfig(String document) throws Exception {
     String changeId = UUID.randomUUID().toString();
@@ -366,7 +368,8 @@
             if (current >= 0) {
               version[0] =
                   DaemonClient.acceptedVersion(
-                      client.change(DaemonClient.ChangeKind.PUT, url, changeId, current, document));
+                      client.sendChange(
+                          DaemonClient.ChangeKind.PUT, url, changeId, current, document));
             }
             if (version[0] > 0) {
               return true;
@@ -377,57 +380,62 @@
     return version[0];
   }
 
-  /** Returns what an entry knows of the endpoints; nothing if it does not answer. */
+  /** Returns the endpoints that an entry has recorded, or an empty array if it does not respond. */
   public JsonNode endpoints(String node) {
-    return client.document(urlOf(node) + "/v1/endpoints").orElseGet(JSON::createArrayNode);
+    return client.getJson(urlOf(node) + "/v1/endpoints").orElseGet(JSON::createArrayNode);
   }
 
-  /** Polls a condition every 50 ms until it holds or the start timeout passes. */
-  public static void awaitCondition(String what, BooleanSupplier condition) throws Exception {
+  /**
+   * Polls a condition every 50 ms until it holds.
+   *
+   * @throws IllegalStateException if it does not hold within {@link #START_TIMEOUT}
+   */
+  public static void awaitCondition(String description, BooleanSupplier condition)
+      throws Exception {
     long deadline = System.nanoTime() + START_TIMEOUT.toNanos();
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > deadline) {
-        throw new IllegalStateException("timed out waiting until " + what);
+        throw new IllegalStateException("timed out waiting until " + description);
       }
       TimeUnit.MILLISECONDS.sleep(50);
     }
   }
 
-  /** Returns entry base URLs by node id. */
+  /** Returns the base URLs of the entries by node id. */
   public Map<String, String> entries() {
     return Map.copyOf(entryUrlByNode);
   }
 
-  /** Returns the region of each entry node. */
+  /** Returns the regions of the entries by node id. */
   public Map<String, String> entryRegions() {
     return Map.copyOf(entryRegionByNode);
   }
 
-  /** Returns the region of every daemon. */
+  /** Returns the regions of all daemons by node id. */
   public Map<String, String> regionsByNode() {
     Map<String, String> all = new LinkedHashMap<>(controlRegionByNode);
     all.putAll(entryRegionByNode);
     return all;
   }
 
-  /** Returns the control daemons' base URLs. */
+  /** Returns the base URLs of the control daemons. */
   public List<String> controls() {
     return List.copyOf(controlUrlByNode.values());
   }
 
-  /** Returns the control daemons' node ids. */
+  /** Returns the node ids of the control daemons. */
   public List<String> controlNodes() {
     return List.copyOf(controlUrlByNode.keySet());
   }
 
-  /** Returns the stand-in runners' base URLs by group prefix. */
+  /** Returns the base URLs of the stand-in runners by id prefix of their group. */
   public Map<String, List<String>> standins() {
     return Map.copyOf(standinUrls);
   }
 
   /**
-   * Returns the processor time the named processes have used so far, in nanoseconds, as the
-   * operating system reports it.
+   * Returns the total CPU time of the processes whose names match, in nanoseconds, as reported by
+   * the operating system.
    */
   public long cpuNanos(java.util.function.Predicate<String> names) {
     return processes.values().stream()
@@ -442,16 +450,16 @@
   }
 
   /**
-   * Stops the stand-ins and entries, then the control daemons, each by SIGTERM (a graceful
-   * shutdown), and waits for them to exit; returns the names of those that did not exit cleanly.
+   * Shuts down the stand-ins and entries, then the control daemons, gracefully with SIGTERM. Waits
+   * for the processes to exit and returns the names of those that did not exit cleanly.
    */
   public List<String> stop() throws InterruptedException {
     List<DeploymentProcess> running =
         processes.values().stream().filter(p -> !p.stopped()).toList();
     List<DeploymentProcess> controls =
         running.stream().filter(p -> controlUrlByNode.containsKey(p.name())).toList();
-    List<DeploymentProcess> rest = running.stream().filter(p -> !controls.contains(p)).toList();
-    List<String> failures = new ArrayList<>(stopAll(rest));
+    List<DeploymentProcess> others = running.stream().filter(p -> !controls.contains(p)).toList();
+    List<String> failures = new ArrayList<>(stopAll(others));
     failures.addAll(stopAll(controls));
     processes.clear();
     return failures;
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/OrderBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/OrderBench.java
@@ -7,29 +7,29 @@
 import java.util.function.Consumer;
 
 /**
- * Sends non-idempotent orders to one region of the demo deployment for a while, with resends, while
- * its entries are killed, frozen and stopped by turns; reports whether any order ran twice, or ran
- * although every answer said it was not run.
+ * Sends non-idempotent orders, with resends, to one region of the demo deployment while its entries
+ * are killed, frozen and stopped in turn. Reports whether any order ran twice, or ran although
+ * every response reported it as not run.
  */
 public final class OrderBench {
   private static final String REGION = "uusimaa";
-  private static final long CALM_MILLIS = 6_000;
+  private static final long FAULT_INTERVAL_MILLIS = 6_000;
   private static final long FREEZE_MILLIS = 1_500;
 
   private final int seconds;
   private final Consumer<String> out;
 
-  /** Creates the bench running for the given time and writing its report to the given sink. */
+  /** Creates a benchmark that runs for the given time and writes its report to the consumer. */
   public OrderBench(int seconds, Consumer<String> out) {
     this.seconds = seconds;
     this.out = out;
   }
 
   /**
-   * Runs the bench.
+   * Runs the benchmark.
    *
-   * @param workDir folder for logs and data
-   * @return whether no order ran twice and every answer was true
+   * @param workDir the directory for logs and data
+   * @return whether no order ran twice and no response reported a wrong outcome
    * @throws Exception if the deployment does not start
    */
   public boolean run(Path workDir) throws Exception {
@@ -42,28 +42,28 @@
               .toList();
       OrderLoad load = new OrderLoad(deployment, entries, desks, "bench");
       final CompletableFuture<Void> sending = load.start();
-      int faults = disturb(deployment, entries);
+      int faults = injectFaults(deployment, entries);
       load.finish(sending);
       out.accept("faults " + faults + ", " + load.summary());
       out.accept(
-          "answered two ways "
-              + load.keysAnsweredTwoWays().size()
+          "keys with different orders "
+              + load.keysWithDifferentOrders().size()
               + ", served and not run "
               + load.servedKeysNotRun().size()
               + ", refused and run "
               + load.refusedKeysThatRan().size());
       return load.runsByKey().values().stream().allMatch(runs -> runs <= 1)
-          && load.keysAnsweredTwoWays().isEmpty()
+          && load.keysWithDifferentOrders().isEmpty()
           && load.servedKeysNotRun().isEmpty()
           && load.refusedKeysThatRan().isEmpty();
     }
   }
 
-  private int disturb(LocalDeployment deployment, List<String> entries) throws Exception {
+  private int injectFaults(LocalDeployment deployment, List<String> entries) throws Exception {
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
     int faults = 0;
     while (System.nanoTime() < until) {
-      OrderLoad.pause(CALM_MILLIS);
+      OrderLoad.sleep(FAULT_INTERVAL_MILLIS);
       String entry = entries.get(faults % entries.size());
       switch (faults % 3) {
         case 0 -> {
@@ -72,7 +72,7 @@
         }
         case 1 -> {
           deployment.pause(entry);
-          OrderLoad.pause(FREEZE_MILLIS);
+          OrderLoad.sleep(FREEZE_MILLIS);
           deployment.resume(entry);
         }
         default -> {
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/OrderLoad.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/OrderLoad.java
@@ -24,9 +24,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Callers that send non-idempotent orders to the entries of one region, twice at once and again
- * after every refusal or lost answer, until an answer is final; afterwards the stand-in service's
- * run counter is compared with what the callers heard.
+ * Simulates callers that send non-idempotent orders to the entries of one region. Each order is
+ * sent twice concurrently and resent after every refusal or lost response, until a response is
+ * final. Afterwards the run counters of the stand-in service are compared with the responses.
  */
 public final class OrderLoad {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -42,8 +42,8 @@
   private final AtomicBoolean stopping = new AtomicBoolean();
   private final AtomicInteger nextOrder = new AtomicInteger();
   private final Map<String, Set<String>> ordersByKey = new ConcurrentHashMap<>();
-  private final Map<String, String> lastWordByKey = new ConcurrentHashMap<>();
-  private final Map<String, AtomicInteger> words = new ConcurrentHashMap<>();
+  private final Map<String, String> outcomeByKey = new ConcurrentHashMap<>();
+  private final Map<String, AtomicInteger> responsesByOutcome = new ConcurrentHashMap<>();
   private final ExecutorService callers = Executors.newFixedThreadPool(2 * CALLERS);
   private final HttpClient http =
       HttpClient.newBuilder()
@@ -52,19 +52,19 @@
           .build();
   private Map<String, Integer> runs = Map.of();
 
-  /** Whether a caller is told something final about its order. */
+  /** Whether a response is final, or the caller must resend the order. */
   private enum Finality {
     FINAL,
     ASK_AGAIN
   }
 
   /**
-   * Creates the load.
+   * Creates a load that is not started.
    *
-   * @param deployment the deployment
-   * @param entries the entry nodes callers choose among
-   * @param runners the base URLs of the stand-in service's runners
-   * @param name distinguishes the keys of this load
+   * @param deployment the deployment that receives the orders
+   * @param entries the node ids of the entries that the orders are sent to
+   * @param runners the base URLs of the runners of the stand-in service
+   * @param name the prefix of the idempotency keys of this load
    */
   public OrderLoad(
       LocalDeployment deployment, List<String> entries, List<String> runners, String name) {
@@ -74,41 +74,42 @@
     this.name = name;
   }
 
-  /** Starts the callers; they go on until {@link #finish}. */
+  /** Starts the callers, which send orders until {@link #finish} is called. */
   public CompletableFuture<Void> start() {
     List<CompletableFuture<Void>> all = new ArrayList<>();
     for (int i = 0; i < CALLERS; i++) {
-      all.add(CompletableFuture.runAsync(this::callUntilStopped, callers));
+      all.add(CompletableFuture.runAsync(this::sendUntilStopped, callers));
     }
     return CompletableFuture.allOf(all.toArray(new CompletableFuture<?>[0]));
   }
 
-  /** Ends the load once every order has its final answer, and reads the run counters. */
+  /** Stops the load, waits for the final response to every order and reads the run counters. */
   public void finish(CompletableFuture<Void> started) throws Exception {
-    pause(SETTLE_MILLIS);
+    sleep(SETTLE_MILLIS);
     stopping.set(true);
     started.get(120, TimeUnit.SECONDS);
     callers.shutdown();
     runs = readRuns();
   }
 
-  private void callUntilStopped() {
+  private void sendUntilStopped() {
     while (!stopping.get()) {
-      int n = nextOrder.getAndIncrement();
-      String key = name + "-" + n;
-      CompletableFuture<Void> twin = CompletableFuture.runAsync(() -> order(key, n + 1), callers);
-      order(key, n);
-      twin.join();
+      int orderNumber = nextOrder.getAndIncrement();
+      String key = name + "-" + orderNumber;
+      CompletableFuture<Void> duplicate =
+          CompletableFuture.runAsync(() -> sendUntilFinal(key, orderNumber + 1), callers);
+      sendUntilFinal(key, orderNumber);
+      duplicate.join();
     }
   }
 
-  private void order(String key, int firstEntry) {
-    for (int send = 0; send < MAX_SENDS; send++) {
-      String entry = deployment.urlOf(entries.get((firstEntry + send) % entries.size()));
+  private void sendUntilFinal(String key, int firstEntry) {
+    for (int sends = 0; sends < MAX_SENDS; sends++) {
+      String entry = deployment.urlOf(entries.get((firstEntry + sends) % entries.size()));
       if (sendOnce(entry, key) == Finality.FINAL) {
         return;
       }
-      pause(RETRY_MILLIS);
+      sleep(RETRY_MILLIS);
     }
   }
 
@@ -122,19 +123,19 @@
             .POST(HttpRequest.BodyPublishers.ofString("{\"wall\":\"A\"}"))
             .build();
     try {
-      HttpResponse<String> r = http.send(request, HttpResponse.BodyHandlers.ofString());
-      JsonNode body = JSON.readTree(r.body());
-      if (r.statusCode() == 200) {
+      HttpResponse<String> response = http.send(request, HttpResponse.BodyHandlers.ofString());
+      JsonNode body = JSON.readTree(response.body());
+      if (response.statusCode() == 200) {
         String order = body.path("runner").asText() + "/" + body.path("order").asText();
         ordersByKey.computeIfAbsent(key, k -> ConcurrentHashMap.newKeySet()).add(order);
-        note(key, "served");
+        recordOutcome(key, "served");
         return Finality.FINAL;
       }
-      String code = body.path("error").path("code").asText("http_" + r.statusCode());
-      note(key, code);
+      String code = body.path("error").path("code").asText("http_" + response.statusCode());
+      recordOutcome(key, code);
       return code.equals("outcome_unknown") ? Finality.FINAL : Finality.ASK_AGAIN;
     } catch (IOException e) {
-      note(key, "no_answer");
+      recordOutcome(key, "no_answer");
       return Finality.ASK_AGAIN;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -142,29 +143,31 @@
     }
   }
 
-  private void note(String key, String word) {
-    words.computeIfAbsent(word, w -> new AtomicInteger()).incrementAndGet();
-    lastWordByKey.merge(
-        key, word, (held, next) -> held.equals("served") ? held : worse(held, next));
+  private void recordOutcome(String key, String outcome) {
+    responsesByOutcome.computeIfAbsent(outcome, w -> new AtomicInteger()).incrementAndGet();
+    outcomeByKey.merge(
+        key,
+        outcome,
+        (current, next) -> current.equals("served") ? current : lessCertain(current, next));
   }
 
-  /** Keeps a word that leaves the outcome open over one that says the order was not run. */
-  private static String worse(String held, String next) {
-    return saysNotRun(held) ? next : held;
+  /** Returns the outcome that leaves it open whether the order ran, if either of them does. */
+  private static String lessCertain(String current, String next) {
+    return isNotRun(current) ? next : current;
   }
 
-  private static boolean saysNotRun(String word) {
-    return word.equals("not_run") || word.equals("shutting_down");
+  private static boolean isNotRun(String outcome) {
+    return outcome.equals("not_run") || outcome.equals("shutting_down");
   }
 
   private Map<String, Integer> readRuns() throws IOException, InterruptedException {
     Map<String, Integer> all = new HashMap<>();
     for (String runner : runners) {
-      HttpResponse<String> r =
+      HttpResponse<String> response =
           http.send(
               HttpRequest.newBuilder(URI.create(runner + "/v1/runs")).build(),
               HttpResponse.BodyHandlers.ofString());
-      JSON.readTree(r.body())
+      JSON.readTree(response.body())
           .path("byKey")
           .fields()
           .forEachRemaining(f -> all.merge(f.getKey(), f.getValue().asInt(), Integer::sum));
@@ -173,13 +176,13 @@
     return all;
   }
 
-  /** Returns how often each key was run. */
+  /** Returns the number of runs by key. */
   public Map<String, Integer> runsByKey() {
     return runs;
   }
 
-  /** Returns the keys whose callers were given different orders. */
-  public Set<String> keysAnsweredTwoWays() {
+  /** Returns the keys whose responses contain different orders. */
+  public Set<String> keysWithDifferentOrders() {
     Set<String> keys = new TreeSet<>();
     ordersByKey.forEach(
         (key, orders) -> {
@@ -190,47 +193,47 @@
     return keys;
   }
 
-  /** Returns the keys answered with an order that no runner ran. */
+  /** Returns the keys with a successful response that no runner has run. */
   public Set<String> servedKeysNotRun() {
     Set<String> keys = new TreeSet<>(ordersByKey.keySet());
     keys.removeAll(runs.keySet());
     return keys;
   }
 
-  /** Returns the keys of which every answer said not run, and which a runner ran. */
+  /** Returns the keys that a runner has run although every response reported them as not run. */
   public Set<String> refusedKeysThatRan() {
     Set<String> keys = new TreeSet<>();
-    lastWordByKey.forEach(
-        (key, word) -> {
-          if (saysNotRun(word) && runs.containsKey(key)) {
+    outcomeByKey.forEach(
+        (key, outcome) -> {
+          if (isNotRun(outcome) && runs.containsKey(key)) {
             keys.add(key);
           }
         });
     return keys;
   }
 
-  /** Returns the number of keys served. */
+  /** Returns the number of keys with a successful response. */
   public int served() {
     return ordersByKey.size();
   }
 
-  /** Returns what callers heard, and how many keys were run more than once. */
+  /** Returns the number of responses by outcome, and the number of keys run more than once. */
   public String summary() {
-    Map<String, Integer> heard = new TreeMap<>();
-    words.forEach((word, n) -> heard.put(word, n.get()));
-    long doubled = runs.values().stream().filter(n -> n > 1).count();
+    Map<String, Integer> counts = new TreeMap<>();
+    responsesByOutcome.forEach((outcome, n) -> counts.put(outcome, n.get()));
+    long keysRunTwice = runs.values().stream().filter(n -> n > 1).count();
     return "orders "
         + nextOrder.get()
-        + ", answers "
-        + heard
+        + ", outcomes "
+        + counts
         + ", keys run "
         + runs.size()
-        + ", doubled "
-        + doubled;
+        + ", keys run more than once "
+        + keysRunTwice;
   }
 
-  /** Sleeps, for a fault's duration. */
-  public static void pause(long millis) {
+  /** Sleeps for the given time, or until the thread is interrupted. */
+  public static void sleep(long millis) {
     try {
       TimeUnit.MILLISECONDS.sleep(millis);
     } catch (InterruptedException e) {
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/PolicyBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/PolicyBench.java
@@ -13,38 +13,41 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Compares routing policies on the same trace, each on a deployment of its own, while a region
- * loses most of its engines and its traffic lands on others whose caches are cold. The measures are
- * the brief's: cost (engine step-seconds per served request), tail latency of reviews and of
- * questions apart, and the share of requests sent to another region.
+ * Compares routing policies on the same trace, each on a separate deployment, while a region loses
+ * most of its engines and its traffic moves to engines with cold caches. Measures the cost (engine
+ * step time per served request), the tail latency of reviews and of questions separately, and the
+ * share of requests sent to another region.
  */
 public final class PolicyBench {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final int CAPACITY = 8;
+  private static final int RUNNER_CAPACITY = 8;
   private static final int CACHED_PREFIXES = 24;
-  private static final int[] RUNNERS = {4, 3, 2};
-  private static final String LOST = "-lost";
+  private static final int[] RUNNERS_BY_REGION = {4, 3, 2};
+  private static final String LOST_GROUP_SUFFIX = "-lost";
 
   private final Options options;
   private final Consumer<String> out;
 
   /**
-   * What to run.
+   * The parameters of a run.
    *
-   * @param policies the routing policies, by name
-   * @param seconds the trace's length; the region loses its engines after a third of it
-   * @param requestsPerSecond the trace's mean rate
-   * @param seed the trace's seed
+   * @param policies the names of the routing policies
+   * @param seconds the length of the trace; the region loses its engines after a third of it
+   * @param requestsPerSecond the mean rate of the trace over all regions
+   * @param seed the seed of the trace
    */
   public record Options(List<String> policies, int seconds, double requestsPerSecond, long seed) {}
 
-  /** Creates the bench writing JSON lines to the given sink. */
+  /** Creates a benchmark that writes JSON lines to the given consumer. */
   public PolicyBench(Options options, Consumer<String> out) {
     this.options = options;
     this.out = out;
   }
 
-  /** Runs every policy and returns whether none served a request outside its residency. */
+  /**
+   * Runs every policy and returns whether no request was served outside its residency and no
+   * response was corrupted.
+   */
   public boolean run(Path workDir) throws Exception {
     List<TraceRequest> trace =
         WorkloadTrace.generate(
@@ -60,10 +63,10 @@
     List<LocalDeployment.StandinGroup> groups = new ArrayList<>();
     for (int i = 0; i < DemoDeployment.REGIONS.size(); i++) {
       String region = DemoDeployment.REGIONS.get(i);
-      int lost = i == 0 ? RUNNERS[0] - 1 : 0;
-      groups.add(engines("writers-" + region, region, RUNNERS[i] - lost));
-      if (lost > 0) {
-        groups.add(engines("writers-" + region + LOST, region, lost));
+      int lostRunners = i == 0 ? RUNNERS_BY_REGION[0] - 1 : 0;
+      groups.add(engines("writers-" + region, region, RUNNERS_BY_REGION[i] - lostRunners));
+      if (lostRunners > 0) {
+        groups.add(engines("writers-" + region + LOST_GROUP_SUFFIX, region, lostRunners));
       }
     }
     return new LocalDeployment.Topology(
@@ -84,7 +87,7 @@
         runners,
         "writer",
         Map.of("service", "writers", "tier", "standard"),
-        CAPACITY,
+        RUNNER_CAPACITY,
         List.of("--prefix-cache", Integer.toString(CACHED_PREFIXES)));
   }
 
@@ -95,10 +98,11 @@
       List<TraceRequest> warmUp = trace.subList(0, trace.size() / 6);
       replayer.replay(warmUp, r -> entryFor(deployment, r));
       final Counters before = Counters.read(deployment);
-      CompletableFuture<Counters> loss =
+      CompletableFuture<Counters> lostCounters =
           CompletableFuture.supplyAsync(() -> loseEngines(deployment));
       ReplayResult result = replayer.replay(trace, r -> entryFor(deployment, r));
-      Counters used = Counters.read(deployment).plus(loss.get(60, TimeUnit.SECONDS)).minus(before);
+      Counters used =
+          Counters.read(deployment).plus(lostCounters.get(60, TimeUnit.SECONDS)).minus(before);
       out.accept(report(policy, trace, result, used).toString());
       return result.outsideResidency == 0 && result.corrupted == 0;
     }
@@ -108,19 +112,19 @@
     return deployment.urlOf(r.region() + "-entry-" + (1 + r.atMillis() % 2));
   }
 
-  /** Kills the first region's lost engines and returns what they had counted. */
+  /** Kills the engines that the first region loses and returns their counters before the kill. */
   private Counters loseEngines(LocalDeployment deployment) {
     try {
       TimeUnit.MILLISECONDS.sleep(options.seconds() * 1000L / 3);
       Counters all = Counters.read(deployment);
-      deployment.kill("writers-" + DemoDeployment.REGIONS.get(0) + LOST);
+      deployment.kill("writers-" + DemoDeployment.REGIONS.get(0) + LOST_GROUP_SUFFIX);
       return all.minus(Counters.read(deployment));
     } catch (Exception e) {
       throw new IllegalStateException(e);
     }
   }
 
-  /** The engines' counters, summed. */
+  /** The counters summed over all running engines. */
   private record Counters(long busyMicros, long hits, long misses) {
     static Counters read(LocalDeployment deployment) throws Exception {
       return new Counters(
@@ -152,14 +156,14 @@
     line.put("crossRegionShare", result.crossRegionShare());
     line.put("outsideResidency", result.outsideResidency);
     line.put("corrupted", result.corrupted);
-    tails(line, "review", result.reviewFirstTokenMicros);
-    tails(line, "question", result.questionFirstTokenMicros);
+    putFirstTokenPercentiles(line, "review", result.reviewFirstTokenMicros);
+    putFirstTokenPercentiles(line, "question", result.questionFirstTokenMicros);
     line.put("betweenTokensP95Millis", millis(result.betweenTokensMicros, 95));
     line.put("betweenTokensP99Millis", millis(result.betweenTokensMicros, 99));
     return line;
   }
 
-  private static void tails(ObjectNode line, String kind, Histogram firstToken) {
+  private static void putFirstTokenPercentiles(ObjectNode line, String kind, Histogram firstToken) {
     line.put(kind + "FirstTokenP50Millis", millis(firstToken, 50));
     line.put(kind + "FirstTokenP95Millis", millis(firstToken, 95));
     line.put(kind + "FirstTokenP99Millis", millis(firstToken, 99));
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
@@ -42,9 +42,10 @@
 import org.lacewingcroft.routing.RoutingPolicy;
 
 /**
- * In-process measurements of the slopes {@code docs/CAPACITY.md} scales from: processor time of a
- * routing decision per known endpoint, processor time and heap of a configuration version per
- * organisation, and heartbeat bytes and processor time per daemon per member. Each measurement
+ * Measures in-process how cost grows with size, for the extrapolation in {@code docs/CAPACITY.md}:
+ * the CPU time of a routing decision by number of endpoints, the CPU time and heap of a
+ * configuration version by number of organisations, and the gossip bytes and CPU time of a daemon
+ * by number of members. It also measures the append time of the control log. Each measurement
  * prints one JSON line.
  */
 public final class SlopeBench {
@@ -53,7 +54,7 @@
   private static final int PATCH_ROUNDS = 50;
   private static final int MEMBERS_PER_REGION = 27;
   private static final int CONTROL_MEMBERS = 5;
-  private static final GatewayView IDLE =
+  private static final GatewayView IDLE_VIEW =
       new GatewayView() {
         @Override
         public int inFlightTo(String endpointId) {
@@ -73,12 +74,12 @@
 
   private final Consumer<String> out;
 
-  /** Creates the bench writing JSON lines to the given sink. */
+  /** Creates a benchmark that writes JSON lines to the given consumer. */
   public SlopeBench(Consumer<String> out) {
     this.out = out;
   }
 
-  /** Measures a routing decision's processor time against the endpoints in the directory. */
+  /** Measures the CPU time of a routing decision by number of endpoints in the directory. */
   public void routing(List<Integer> endpointCounts, int decisions) {
     GatewayConfig config =
         ConfigParser.parse(
@@ -110,14 +111,14 @@
         }
         Router router = new Router("uusimaa", policy);
         long sink = 0;
-        for (int warm = 0; warm < decisions / 4; warm++) {
-          sink += router.route(request(warm), config, directory, IDLE, now).hashCode();
+        for (int round = 0; round < decisions / 4; round++) {
+          sink += router.route(request(round), config, directory, IDLE_VIEW, now).hashCode();
         }
-        long cpu0 = THREADS.getCurrentThreadCpuTime();
+        long startCpuNanos = THREADS.getCurrentThreadCpuTime();
         for (int i = 0; i < decisions; i++) {
-          sink += router.route(request(i), config, directory, IDLE, now).hashCode();
+          sink += router.route(request(i), config, directory, IDLE_VIEW, now).hashCode();
         }
-        long cpuNanos = THREADS.getCurrentThreadCpuTime() - cpu0;
+        long cpuNanos = THREADS.getCurrentThreadCpuTime() - startCpuNanos;
         ObjectNode line = JSON.createObjectNode();
         line.put("bench", "routing");
         line.put("policy", policy.name());
@@ -135,27 +136,27 @@
         "puhdas-seina", "writer", "normal", Set.of(), false, Set.of(), 4_000, "prefix-" + (i % 97));
   }
 
-  /** Measures parsing and holding a configuration version against its organisations. */
+  /** Measures the CPU time and heap of a configuration version by number of organisations. */
   public void configuration(List<Integer> organisationCounts) {
     for (int n : organisationCounts) {
-      StringBuilder doc = new StringBuilder("selectors:\n");
-      doc.append("  - {name: w, work: {models: [writer]},")
+      StringBuilder yaml = new StringBuilder("selectors:\n");
+      yaml.append("  - {name: w, work: {models: [writer]},")
           .append(" endpoints: {matchLabels: {service: writers}}}\norganisations:\n");
       for (int i = 0; i < n; i++) {
-        doc.append("  - {name: org-")
+        yaml.append("  - {name: org-")
             .append(i)
             .append(", residency: [uusimaa, pirkanmaa], requestsPerSecond: 20}\n");
       }
-      String document = doc.toString();
-      for (int warm = 0; warm < 3; warm++) {
+      String document = yaml.toString();
+      for (int round = 0; round < 3; round++) {
         ConfigParser.parse(document);
       }
       int rounds = 5;
-      long cpu0 = THREADS.getCurrentThreadCpuTime();
+      long startCpuNanos = THREADS.getCurrentThreadCpuTime();
       for (int r = 0; r < rounds; r++) {
         ConfigParser.parse(document);
       }
-      final long cpuNanos = (THREADS.getCurrentThreadCpuTime() - cpu0) / rounds;
+      final long cpuNanos = (THREADS.getCurrentThreadCpuTime() - startCpuNanos) / rounds;
       final long heapBefore = usedHeapAfterGc();
       ConfigStore store = new ConfigStore();
       store.offer(1, document);
@@ -168,11 +169,11 @@
       line.put("heapBytesHeld", heapAfter - heapBefore);
       String patch = "organisations: [{name: org-7, residency: [uusimaa], requestsPerSecond: 9}]";
       store.offerPatches(1, List.of(ConfigPatch.parse(patch)));
-      long patchCpu0 = THREADS.getCurrentThreadCpuTime();
+      long patchStartCpuNanos = THREADS.getCurrentThreadCpuTime();
       for (int v = 2; v < 2 + PATCH_ROUNDS; v++) {
         store.offerPatches(v, List.of(ConfigPatch.parse(patch)));
       }
-      long patchNanos = (THREADS.getCurrentThreadCpuTime() - patchCpu0) / PATCH_ROUNDS;
+      long patchNanos = (THREADS.getCurrentThreadCpuTime() - patchStartCpuNanos) / PATCH_ROUNDS;
       line.put("patchBytes", patch.length());
       line.put("patchCpuMicros", patchNanos / 1000.0);
       line.put("heapBytesHeldPatched", usedHeapAfterGc() - heapBefore);
@@ -190,9 +191,10 @@
   }
 
   /**
-   * Runs {@code members} in-process daemons' membership on loopback, {@link #MEMBERS_PER_REGION} in
-   * a region, and measures in the second half of the given time the gossip bytes each sends per
-   * second, the process's processor time, and how many members are suspected though all live.
+   * Runs the membership of the given numbers of daemons in-process on the loopback interface, with
+   * {@link #MEMBERS_PER_REGION} members per region. Measures in the second half of each run the
+   * gossip bytes sent per second and member, the CPU time of the process, and the number of falsely
+   * suspected members.
    */
   public void membership(List<Integer> memberCounts, Duration run, Duration interval)
       throws Exception {
@@ -203,13 +205,14 @@
       List<Membership> members = new ArrayList<>();
       String seed = null;
       for (int i = 0; i < n; i++) {
-        PeerTransport t = new PeerTransport(vertx, new FrameCodec(secret));
+        PeerTransport transport = new PeerTransport(vertx, new FrameCodec(secret));
         Membership[] holder = new Membership[1];
         int port =
-            t.listen(
+            transport
+                .listen(
                     "127.0.0.1",
                     0,
-                    (stamp, m) -> {
+                    (timestamp, m) -> {
                       if (m instanceof PeerMessage.Gossip g && holder[0] != null) {
                         holder[0].onGossip(g, 1);
                       }
@@ -225,9 +228,10 @@
         String role = i < CONTROL_MEMBERS ? MemberInfo.CONTROL : MemberInfo.ENTRY;
         MemberInfo self =
             new MemberInfo("node-" + i, role, region, region + "-a", address, address, 1);
-        Membership m = new Membership(self, List.of(seed), t, InstantSource.system(), interval);
+        Membership m =
+            new Membership(self, List.of(seed), transport, InstantSource.system(), interval);
         holder[0] = m;
-        transports.add(t);
+        transports.add(transport);
         members.add(m);
       }
       long[] timers = new long[n];
@@ -238,16 +242,16 @@
                 interval.toMillis(),
                 id -> m.sendRound(new Gossiper.SelfReport(false, 1, Map.of("writer", 4))));
       }
-      long settle = run.toMillis() / 2;
-      TimeUnit.MILLISECONDS.sleep(settle);
-      long bytes0 = transports.stream().mapToLong(PeerTransport::bytesSent).sum();
-      long cpu0 = processCpuNanos();
-      long wall0 = System.nanoTime();
-      TimeUnit.MILLISECONDS.sleep(run.toMillis() - settle);
-      long seconds = System.nanoTime() - wall0;
-      long bytes = transports.stream().mapToLong(PeerTransport::bytesSent).sum() - bytes0;
-      long cpu = processCpuNanos() - cpu0;
-      double wallSeconds = seconds / 1e9;
+      long settleMillis = run.toMillis() / 2;
+      TimeUnit.MILLISECONDS.sleep(settleMillis);
+      long startBytes = transports.stream().mapToLong(PeerTransport::bytesSent).sum();
+      long startCpuNanos = processCpuNanos();
+      long startNanos = System.nanoTime();
+      TimeUnit.MILLISECONDS.sleep(run.toMillis() - settleMillis);
+      long wallNanos = System.nanoTime() - startNanos;
+      long bytes = transports.stream().mapToLong(PeerTransport::bytesSent).sum() - startBytes;
+      long cpuNanos = processCpuNanos() - startCpuNanos;
+      double wallSeconds = wallNanos / 1e9;
       double knownAverage =
           members.stream().mapToInt(m -> m.table().all().size()).average().orElse(0);
       ObjectNode line = JSON.createObjectNode();
@@ -256,10 +260,13 @@
       line.put("intervalMillis", interval.toMillis());
       line.put("knownPerMemberAverage", knownAverage);
       line.put("bytesPerSecondPerMember", bytes / wallSeconds / n);
-      long[] most = transports.stream().mapToLong(PeerTransport::bytesSent).sorted().toArray();
-      line.put("bytesShareOfBusiestMember", most[n - 1] * (double) n / Arrays.stream(most).sum());
-      line.put("suspected", members.stream().mapToLong(SlopeBench::suspected).sum());
-      line.put("cpuShareOfCorePerMember", cpu / 1e9 / wallSeconds / n);
+      long[] sortedBytes =
+          transports.stream().mapToLong(PeerTransport::bytesSent).sorted().toArray();
+      line.put(
+          "bytesShareOfBusiestMember",
+          sortedBytes[n - 1] * (double) n / Arrays.stream(sortedBytes).sum());
+      line.put("suspected", members.stream().mapToLong(SlopeBench::suspectedCount).sum());
+      line.put("cpuShareOfCorePerMember", cpuNanos / 1e9 / wallSeconds / n);
       out.accept(line.toString());
       for (long timer : timers) {
         vertx.cancelTimer(timer);
@@ -270,23 +277,23 @@
   }
 
   /**
-   * Measures the control log's durable append (write plus fsync) on this machine's disk, for a
-   * change of the given size in bytes.
+   * Measures the duration of a durable append (write and fsync) to the control log on the local
+   * disk, for changes of the given size in bytes.
    */
   public void controlLog(int appends, int changeBytes) throws Exception {
     java.nio.file.Path dir = java.nio.file.Files.createTempDirectory("lwc-log-bench");
     String document = "selectors: []\n#" + "x".repeat(Math.max(0, changeBytes - 16)) + "\n";
     org.HdrHistogram.Histogram micros = new org.HdrHistogram.Histogram(10_000_000L, 3);
     try (DurableLog log = DurableLog.open(dir, true)) {
-      long cpu0 = THREADS.getCurrentThreadCpuTime();
+      long startCpuNanos = THREADS.getCurrentThreadCpuTime();
       for (int i = 0; i < appends; i++) {
-        long t0 = System.nanoTime();
+        long startNanos = System.nanoTime();
         log.append(
             List.of(
                 new LogEntry(i + 1, 1, i + 1, new Command.ConfigChange("change-" + i, document))));
-        micros.recordValue((System.nanoTime() - t0) / 1000);
+        micros.recordValue((System.nanoTime() - startNanos) / 1000);
       }
-      long cpuNanos = THREADS.getCurrentThreadCpuTime() - cpu0;
+      long cpuNanos = THREADS.getCurrentThreadCpuTime() - startCpuNanos;
       ObjectNode line = JSON.createObjectNode();
       line.put("bench", "control-log");
       line.put("appends", appends);
@@ -298,7 +305,7 @@
     }
   }
 
-  private static long suspected(Membership m) {
+  private static long suspectedCount(Membership m) {
     Instant now = Instant.now();
     return m.table().trackedMembers().stream()
         .filter(member -> m.table().status(member, now) != MemberStatus.ALIVE)
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/WorkloadTrace.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/WorkloadTrace.java
@@ -6,17 +6,18 @@
 import java.util.Random;
 
 /**
- * A reproducible trace of the users' mix: long history reviews that share long prompt prefixes by
- * case, and short questions that share a short one. Arrivals are Poisson; regions differ in load,
- * and a share of the requests is bound to the caller's home.
+ * Generates reproducible traces of a typical workload: long history reviews, which share a long
+ * prompt prefix per case, and short questions, which share a short one. Arrivals form a Poisson
+ * process, regions differ in load, and a share of the requests must be served in the region of the
+ * caller.
  */
 public final class WorkloadTrace {
-  /** The prompt length, in characters, from which a request counts as a review. */
+  /** The minimum prompt length of a review, in characters. */
   public static final int REVIEW_CHARS = 4_000;
 
   private static final int CASES_PER_REGION = 24;
   private static final double REVIEW_SHARE = 0.35;
-  private static final double BOUND_HOME_SHARE = 0.29;
+  private static final double HOME_RESIDENCY_SHARE = 0.29;
   private static final int REVIEW_TOKENS = 42;
   private static final int QUESTION_TOKENS = 6;
   private static final int QUESTION_CHARS = 600;
@@ -26,10 +27,10 @@
   /**
    * Generates a trace.
    *
-   * @param regions the callers' regions; the first gets twice the load of the others
-   * @param seconds its length
-   * @param requestsPerSecond its mean rate over all regions
-   * @param seed its seed
+   * @param regions the regions of the callers; the first one has twice the load of each other one
+   * @param seconds the length of the trace
+   * @param requestsPerSecond the mean rate over all regions
+   * @param seed the seed of the random generator
    */
   public static List<TraceRequest> generate(
       List<String> regions, int seconds, double requestsPerSecond, long seed) {
@@ -38,8 +39,8 @@
     double atMillis = 0;
     while (atMillis < seconds * 1000.0) {
       atMillis += -Math.log(1 - random.nextDouble()) * 1000 / requestsPerSecond;
-      int pick = random.nextInt(regions.size() + 1);
-      String region = regions.get(pick == regions.size() ? 0 : pick);
+      int regionIndex = random.nextInt(regions.size() + 1);
+      String region = regions.get(regionIndex == regions.size() ? 0 : regionIndex);
       trace.add(request((long) atMillis, region, random));
     }
     return trace;
@@ -52,16 +53,16 @@
         (review ? "History of case " : "Question on site ") + id + " in " + region + ". ";
     int chars = review ? REVIEW_CHARS : QUESTION_CHARS;
     String prompt = topic.repeat(chars / topic.length() + 1) + random.nextInt();
-    boolean bound = random.nextDouble() < BOUND_HOME_SHARE;
+    boolean homeOnly = random.nextDouble() < HOME_RESIDENCY_SHARE;
     return new TraceRequest(
         atMillis,
         region,
-        bound ? "kunta-" + region : "puhdas-seina",
+        homeOnly ? "kunta-" + region : "puhdas-seina",
         "writer",
         prompt,
         review ? REVIEW_TOKENS : QUESTION_TOKENS,
         true,
-        bound ? Optional.of(region) : Optional.empty(),
+        homeOnly ? Optional.of(region) : Optional.empty(),
         Optional.empty());
   }
 }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/BatchingEngine.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/BatchingEngine.java
@@ -18,18 +18,18 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The stand-in engine's continuous batching: one step emits a token to every running sequence whose
- * prompt has been read; more sequences than its capacity wait. A bounded prefix cache saves reading
- * a prompt that shares its beginning with an earlier one.
+ * Simulates an engine with continuous batching. Each step emits one token to every running sequence
+ * whose prefill is complete. Sequences beyond the capacity wait in a queue. A bounded prefix cache
+ * shortens the prefill of a prompt that shares its beginning with an earlier one.
  *
- * <p>Runs on one event loop. Every token carries the request's id, so that a caller can tell its
- * own answer from another's.
+ * <p>Confined to one event loop thread. Every token contains the request id, so that a caller can
+ * detect tokens that belong to the response of another request.
  */
 final class BatchingEngine {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int DEFAULT_MAX_TOKENS = 16;
   private static final int PREFIX_CHARS = 256;
-  private static final double SHARED_PROMPT_SHARE = 0.9;
+  private static final double CACHED_SHARE_ON_HIT = 0.9;
 
   private final Vertx vertx;
   private final RunnerSpec spec;
@@ -43,36 +43,36 @@
   private long stepDueNanos;
   private boolean stepScheduled;
 
-  /** One request being answered. */
+  /** A request that is waiting or running. */
   private static final class Sequence {
     final HttpServerResponse response;
     final boolean stream;
-    final String tag;
+    final String requestTag;
     final String model;
     final int maxTokens;
     final StringBuilder text = new StringBuilder();
-    long prefillMicros;
-    int emitted;
+    long pendingPrefillMicros;
+    int emittedTokens;
 
     Sequence(HttpServerRequest request, JsonNode body, long prefillMicros) {
       String id = request.getHeader("X-Request-Id");
       this.response = request.response();
       this.stream = body.path("stream").asBoolean(false);
-      this.tag = id == null ? "untagged" : id;
+      this.requestTag = id == null ? "untagged" : id;
       this.model = body.path("model").asText("");
       this.maxTokens = body.path("max_tokens").asInt(DEFAULT_MAX_TOKENS);
-      this.prefillMicros = prefillMicros;
+      this.pendingPrefillMicros = prefillMicros;
     }
 
     boolean finished() {
-      return emitted >= maxTokens;
+      return emittedTokens >= maxTokens;
     }
   }
 
   /**
    * Creates an idle engine.
    *
-   * @param inFlight counts the requests in flight, waiting ones included
+   * @param inFlight the counter of requests in flight, including waiting ones
    */
   BatchingEngine(Vertx vertx, RunnerSpec spec, AtomicInteger inFlight) {
     this.vertx = vertx;
@@ -81,7 +81,7 @@
     this.cache = new PrefixCache(spec.prefixCacheEntries(), spec.reportLag().toNanos());
   }
 
-  /** Serves a chat completion request. */
+  /** Queues a chat completion request and responds to it. */
   void serve(HttpServerRequest request, Buffer body) {
     JsonNode root;
     try {
@@ -94,7 +94,7 @@
     String prefix = prompt.substring(0, Math.min(PREFIX_CHARS, prompt.length()));
     boolean hit = cache.lookupAndAdd(prefix, System.nanoTime());
     (hit ? cacheHits : cacheMisses).incrementAndGet();
-    int cachedChars = hit ? (int) (prompt.length() * SHARED_PROMPT_SHARE) : 0;
+    int cachedChars = hit ? (int) (prompt.length() * CACHED_SHARE_ON_HIT) : 0;
     Sequence sequence =
         new Sequence(request, root, spec.timing().prefillMicros(prompt.length(), cachedChars));
     request.response().putHeader("X-Prefix-Cache", hit ? "hit" : "miss");
@@ -102,12 +102,12 @@
       request.response().setChunked(true).putHeader("Content-Type", "text/event-stream");
     }
     inFlight.incrementAndGet();
-    request.connection().closeHandler(v -> sequence.emitted = sequence.maxTokens);
+    request.connection().closeHandler(v -> sequence.emittedTokens = sequence.maxTokens);
     waiting.add(sequence);
-    schedule();
+    scheduleStep();
   }
 
-  /** Returns the counters of work done: busy time, cache hits and misses. */
+  /** Returns the counters of busy time in microseconds, cache hits and cache misses. */
   ObjectNode stats() {
     ObjectNode stats = JSON.createObjectNode();
     stats.put("busyMicros", busyMicros.get());
@@ -116,12 +116,12 @@
     return stats;
   }
 
-  /** Returns the hashes of the prefixes its cache events have told of so far. */
+  /** Returns the hashes of the cached prefixes according to the cache events reported so far. */
   Set<String> reportedPrefixes() {
-    return cache.reported(System.nanoTime());
+    return cache.reportedHashes(System.nanoTime());
   }
 
-  private void schedule() {
+  private void scheduleStep() {
     if (stepScheduled) {
       return;
     }
@@ -132,48 +132,48 @@
       return;
     }
     stepScheduled = true;
-    long micros = spec.timing().stepMicros(running.size()) + readPrompts();
-    busyMicros.addAndGet(micros);
-    stepDueNanos = Math.max(stepDueNanos, System.nanoTime()) + micros * 1000;
+    long stepMicros = spec.timing().stepMicros(running.size()) + prefillPendingPrompts();
+    busyMicros.addAndGet(stepMicros);
+    stepDueNanos = Math.max(stepDueNanos, System.nanoTime()) + stepMicros * 1000;
     long waitMillis = (stepDueNanos - System.nanoTime()) / 1_000_000;
-    vertx.setTimer(Math.max(1, waitMillis), id -> step());
+    vertx.setTimer(Math.max(1, waitMillis), id -> runStep());
   }
 
-  /** Reads a chunk of the oldest unread prompts and returns the time that takes. */
-  private long readPrompts() {
+  /** Prefills one chunk of the oldest pending prompts and returns its duration in microseconds. */
+  private long prefillPendingPrompts() {
     long chunkMicros = spec.timing().maxChunk().toNanos() / 1000;
-    long left = chunkMicros;
+    long remainingMicros = chunkMicros;
     for (Sequence s : running) {
-      long spent = Math.min(left, s.prefillMicros);
-      s.prefillMicros -= spent;
-      left -= spent;
+      long spentMicros = Math.min(remainingMicros, s.pendingPrefillMicros);
+      s.pendingPrefillMicros -= spentMicros;
+      remainingMicros -= spentMicros;
     }
-    return chunkMicros - left;
+    return chunkMicros - remainingMicros;
   }
 
-  private void step() {
+  private void runStep() {
     stepScheduled = false;
     for (Iterator<Sequence> it = running.iterator(); it.hasNext(); ) {
       Sequence s = it.next();
-      if (s.prefillMicros > 0) {
+      if (s.pendingPrefillMicros > 0) {
         continue;
       }
       if (s.finished()) {
         finish(s);
         it.remove();
       } else {
-        emit(s);
+        emitToken(s);
       }
     }
-    schedule();
+    scheduleStep();
   }
 
-  private static void emit(Sequence s) {
-    String token = "t" + s.emitted + ":" + s.tag + " ";
-    s.emitted++;
+  private static void emitToken(Sequence s) {
+    String token = "t" + s.emittedTokens + ":" + s.requestTag + " ";
+    s.emittedTokens++;
     s.text.append(token);
     if (s.stream && !s.response.ended()) {
-      s.response.write("data: " + chunk(s, token) + "\n\n");
+      s.response.write("data: " + chunkJson(s, token) + "\n\n");
     }
   }
 
@@ -186,24 +186,24 @@
       s.response.end("data: [DONE]\n\n");
       return;
     }
-    ObjectNode reply = JSON.createObjectNode();
-    reply.put("id", "chatcmpl-" + s.tag);
-    reply.put("object", "chat.completion");
-    reply.put("model", s.model);
-    ObjectNode choice = reply.putArray("choices").addObject();
+    ObjectNode body = JSON.createObjectNode();
+    body.put("id", "chatcmpl-" + s.requestTag);
+    body.put("object", "chat.completion");
+    body.put("model", s.model);
+    ObjectNode choice = body.putArray("choices").addObject();
     choice.put("index", 0);
     choice.putObject("message").put("role", "assistant").put("content", s.text.toString());
     choice.put("finish_reason", "stop");
-    reply.putObject("usage").put("completion_tokens", s.emitted);
-    s.response.putHeader("Content-Type", "application/json").end(reply.toString());
+    body.putObject("usage").put("completion_tokens", s.emittedTokens);
+    s.response.putHeader("Content-Type", "application/json").end(body.toString());
   }
 
-  private static String chunk(Sequence s, String token) {
-    ObjectNode c = JSON.createObjectNode();
-    c.put("id", "chatcmpl-" + s.tag);
-    c.put("object", "chat.completion.chunk");
-    c.put("model", s.model);
-    c.putArray("choices").addObject().put("index", 0).putObject("delta").put("content", token);
-    return c.toString();
+  private static String chunkJson(Sequence s, String token) {
+    ObjectNode body = JSON.createObjectNode();
+    body.put("id", "chatcmpl-" + s.requestTag);
+    body.put("object", "chat.completion.chunk");
+    body.put("model", s.model);
+    body.putArray("choices").addObject().put("index", 0).putObject("delta").put("content", token);
+    return body.toString();
   }
 }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/PrefixCache.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/PrefixCache.java
@@ -11,17 +11,17 @@
 import org.lacewingcroft.misc.PrefixHash;
 
 /**
- * A bounded least-recently-used set of cached prompt prefixes, as an engine's KV cache, with its
- * cache events: what it holds is reported late, and a share of the events is never reported.
+ * A bounded set of prompt prefixes with least-recently-used eviction, which simulates the KV cache
+ * of an engine. Cache events are reported with a lag, and a share of them is never reported.
  */
 final class PrefixCache {
-  private static final double LOST_EVENTS = 0.1;
+  private static final double EVENT_LOSS_PROBABILITY = 0.1;
 
   private record Event(long atNanos, String hash, boolean added) {}
 
   private final Map<String, Boolean> entries = new LinkedHashMap<>(16, 0.75f, true);
   private final Deque<Event> unreported = new ArrayDeque<>();
-  private final Set<String> reported = new HashSet<>();
+  private final Set<String> reportedHashes = new HashSet<>();
   private final Random random = new Random(1);
   private final int capacity;
   private final long lagNanos;
@@ -31,38 +31,38 @@
     this.lagNanos = lagNanos;
   }
 
-  /** Returns whether the prefix was cached, and caches it. */
+  /** Adds the prefix to the cache and returns whether it was already cached. */
   boolean lookupAndAdd(String prefix, long nowNanos) {
     String hash = PrefixHash.of(prefix);
     boolean hit = entries.containsKey(hash);
     entries.put(hash, Boolean.TRUE);
     if (!hit) {
-      note(new Event(nowNanos, hash, true));
+      enqueueEvent(new Event(nowNanos, hash, true));
     }
     if (entries.size() > capacity) {
       Iterator<String> eldest = entries.keySet().iterator();
-      note(new Event(nowNanos, eldest.next(), false));
+      enqueueEvent(new Event(nowNanos, eldest.next(), false));
       eldest.remove();
     }
     return hit;
   }
 
-  private void note(Event event) {
-    if (random.nextDouble() >= LOST_EVENTS) {
+  private void enqueueEvent(Event event) {
+    if (random.nextDouble() >= EVENT_LOSS_PROBABILITY) {
       unreported.add(event);
     }
   }
 
-  /** Returns the hashes that the events old enough to be reported say are held. */
-  Set<String> reported(long nowNanos) {
+  /** Returns the hashes that are cached according to the events older than the reporting lag. */
+  Set<String> reportedHashes(long nowNanos) {
     while (!unreported.isEmpty() && unreported.peek().atNanos() + lagNanos <= nowNanos) {
       Event event = unreported.poll();
       if (event.added()) {
-        reported.add(event.hash());
+        reportedHashes.add(event.hash());
       } else {
-        reported.remove(event.hash());
+        reportedHashes.remove(event.hash());
       }
     }
-    return Set.copyOf(reported);
+    return Set.copyOf(reportedHashes);
   }
 }
--- a/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/DeploymentEndToEndTest.java
+++ b/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/DeploymentEndToEndTest.java
@@ -27,13 +27,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Starts the demo deployment once as real processes on free loopback ports and checks the request
- * path through it; the last test stops everything gracefully.
+ * Tests the request path through the demo deployment, which is started once as real processes on
+ * free loopback ports and must shut down cleanly after the tests.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class DeploymentEndToEndTest {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final int ORDERS = 150;
+  private static final int ORDER_COUNT = 150;
   private LocalDeployment deployment;
   private final HttpClient http =
       HttpClient.newBuilder()
@@ -65,27 +65,29 @@
   }
 
   /**
-   * Sends every non-idempotent order twice at once, to both entries of the region, and once more
-   * afterwards; the request desk's run counter must show each key run at most once, and every
-   * answer for a key must be the same order.
+   * Sends every non-idempotent order concurrently to both entries of the region, and again
+   * afterwards. According to the run counters of the service each key must run at most once, and
+   * all responses for a key must contain the same order.
    */
   @Test
   void runsEachNonIdempotentOrderAtMostOnce() throws Exception {
     String first = deployment.entries().get("uusimaa-entry-1");
     String second = deployment.entries().get("uusimaa-entry-2");
-    Map<String, List<CompletableFuture<HttpResponse<String>>>> answers = new HashMap<>();
-    for (int i = 0; i < ORDERS; i++) {
+    Map<String, List<CompletableFuture<HttpResponse<String>>>> responses = new HashMap<>();
+    for (int i = 0; i < ORDER_COUNT; i++) {
       String key = "order-" + i;
-      answers.put(key, new ArrayList<>(List.of(order(first, key), order(second, key))));
+      responses.put(key, new ArrayList<>(List.of(sendOrder(first, key), sendOrder(second, key))));
     }
-    for (Map.Entry<String, List<CompletableFuture<HttpResponse<String>>>> e : answers.entrySet()) {
+    for (Map.Entry<String, List<CompletableFuture<HttpResponse<String>>>> e :
+        responses.entrySet()) {
       for (CompletableFuture<HttpResponse<String>> f : e.getValue()) {
         f.get(30, TimeUnit.SECONDS);
       }
-      e.getValue().add(order(first, e.getKey()));
+      e.getValue().add(sendOrder(first, e.getKey()));
     }
     Map<String, List<String>> orderNumbers = new HashMap<>();
-    for (Map.Entry<String, List<CompletableFuture<HttpResponse<String>>>> e : answers.entrySet()) {
+    for (Map.Entry<String, List<CompletableFuture<HttpResponse<String>>>> e :
+        responses.entrySet()) {
       for (CompletableFuture<HttpResponse<String>> f : e.getValue()) {
         HttpResponse<String> r = f.get(30, TimeUnit.SECONDS);
         if (r.statusCode() == 200) {
@@ -102,13 +104,13 @@
             .toList();
     Map<String, Integer> runs = runsByKey(desks);
     assertThat(runs.values(), everyItem(lessThanOrEqualTo(1)));
-    assertThat(runs.size(), is(ORDERS));
+    assertThat(runs.size(), is(ORDER_COUNT));
     for (List<String> numbers : orderNumbers.values()) {
       assertThat(numbers.stream().distinct().count(), is(1L));
     }
   }
 
-  private CompletableFuture<HttpResponse<String>> order(String entry, String key) {
+  private CompletableFuture<HttpResponse<String>> sendOrder(String entry, String key) {
     HttpRequest request =
         HttpRequest.newBuilder(URI.create(entry + "/v1/services/desk/v1/orders"))
             .timeout(Duration.ofSeconds(20))
--- a/lacewingcroft-standins/src/test/java/org/lacewingcroft/standin/StandinConditionsTest.java
+++ b/lacewingcroft-standins/src/test/java/org/lacewingcroft/standin/StandinConditionsTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.lacewingcroft.endpoint.EndpointKind;
 
-/** What a stand-in runner that is told to be in need states in its answers. */
+/** Tests the rate limit and pause that a stand-in runner advertises in its responses. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class StandinConditionsTest {
   private static final HttpClient CLIENT = HttpClient.newHttpClient();
@@ -76,13 +76,14 @@
         "[]; 400; 200; ; ",
         "no JSON; 400; 200; ; "
       })
-  void statesWhatItIsToldTo(
-      String order, int orderStatus, int status, String rate, String retryAfter) throws Exception {
+  void advertisesConfiguredConditions(
+      String conditions, int conditionsStatus, int status, String rate, String retryAfter)
+      throws Exception {
     post("/v1/admin/conditions", "{}");
-    assertThat(post("/v1/admin/conditions", order).statusCode(), is(orderStatus));
-    HttpResponse<String> answer = post("/v1/orders", "{}");
-    assertThat(answer.statusCode(), is(status));
-    assertThat(answer.headers().firstValue("Server-Limit"), is(Optional.ofNullable(rate)));
-    assertThat(answer.headers().firstValue("Retry-After"), is(Optional.ofNullable(retryAfter)));
+    assertThat(post("/v1/admin/conditions", conditions).statusCode(), is(conditionsStatus));
+    HttpResponse<String> response = post("/v1/orders", "{}");
+    assertThat(response.statusCode(), is(status));
+    assertThat(response.headers().firstValue("Server-Limit"), is(Optional.ofNullable(rate)));
+    assertThat(response.headers().firstValue("Retry-After"), is(Optional.ofNullable(retryAfter)));
   }
 }
