--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/ConsensusDriver.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/ConsensusDriver.java
@@ -21,29 +21,31 @@
 import org.lacewingcroft.consensus.Output;
 
 /**
- * Runs a {@link ConsensusMember} on one thread that owns it and its files: lets time pass, feeds it
- * messages and proposals, and carries out what each step asks for.
+ * Runs a {@link ConsensusMember} on a single thread, to which the member and its files are
+ * confined: calls its tick periodically, passes it messages and proposals, and carries out the
+ * output of each step.
  *
- * <p>A failed write or sync stops the driver for good: the file's state is then unknown, so the
- * member must not acknowledge anything more. {@code onDiskFailure} is told.
+ * <p>A step that throws, as after a failed write or sync, stops the driver permanently: the state
+ * of the file is then unknown, so the member must not acknowledge anything more. {@code
+ * onDiskFailure} is called in that case.
  */
 final class ConsensusDriver implements AutoCloseable {
   private static final System.Logger LOG = System.getLogger(ConsensusDriver.class.getName());
-  private static final long TICK_MILLIS = 20;
-  private static final long CLOSE_SECONDS = 5;
+  private static final long TICK_INTERVAL_MILLIS = 20;
+  private static final long CLOSE_TIMEOUT_SECONDS = 5;
 
-  /** What the driver's owner does with a step's results; called on the driver's thread. */
+  /** Receives the results of each step; called on the driver's thread. */
   interface Listener {
     /** Sends a message to another member. */
     void send(String to, ConsensusMessage message);
 
-    /** Notes the member's state after a step. */
-    void stepped(ConsensusMember member, List<LogEntry> committed);
+    /** Called after each step with the member and the entries that the step committed. */
+    void onStep(ConsensusMember member, List<LogEntry> committed);
   }
 
-  /** A proposal to the member. */
+  /** A call that makes a proposal to the member. */
   interface Proposal {
-    /** Makes the proposal under a ticket. */
+    /** Makes the proposal; its decision is reported under the given ticket. */
     Output propose(long ticket, long nowMillis);
   }
 
@@ -51,14 +53,14 @@
   private final DurableLog log;
   private final Listener listener;
   private final Consumer<Throwable> onDiskFailure;
-  private final ScheduledExecutorService thread =
+  private final ScheduledExecutorService executor =
       Executors.newSingleThreadScheduledExecutor(
           task -> {
             Thread t = new Thread(task, "control-log");
             t.setDaemon(true);
             return t;
           });
-  private final Map<Long, Promise<ChangeResult>> waiting = new HashMap<>();
+  private final Map<Long, Promise<ChangeResult>> pendingProposals = new HashMap<>();
   private long nextTicket;
 
   ConsensusDriver(
@@ -72,25 +74,26 @@
     this.onDiskFailure = onDiskFailure;
   }
 
+  /** Returns the time of the monotonic clock, in milliseconds. */
   static long steadyMillis() {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
 
-  /** Begins to let time pass. */
+  /** Starts calling {@link ConsensusMember#tick} periodically. */
   void start() {
-    every(TICK_MILLIS, member::tick);
+    scheduleRepeatedly(TICK_INTERVAL_MILLIS, member::tick);
   }
 
-  /** Repeats a step. */
-  void every(long periodMillis, LongFunction<Output> action) {
-    thread.scheduleWithFixedDelay(
+  /** Runs a step repeatedly, with a fixed delay between the runs. */
+  void scheduleRepeatedly(long periodMillis, LongFunction<Output> action) {
+    executor.scheduleWithFixedDelay(
         () -> step(action), periodMillis, periodMillis, TimeUnit.MILLISECONDS);
   }
 
-  /** Runs a step soon; returns whether the driver still runs. */
-  boolean later(LongFunction<Output> action) {
+  /** Queues a step; returns false if the driver is closed or has stopped. */
+  boolean enqueue(LongFunction<Output> action) {
     try {
-      thread.execute(() -> step(action));
+      executor.execute(() -> step(action));
       return true;
     } catch (RejectedExecutionException stopped) {
       return false;
@@ -98,47 +101,48 @@
   }
 
   /**
-   * Makes a proposal.
+   * Submits a proposal to the member.
    *
-   * @param patience how long to wait for its decision
-   * @return the decision; {@link ChangeResult.Unknown} once the patience is over
+   * @param timeout maximum wait for the decision
+   * @return the decision; {@link ChangeResult.Unknown} after the timeout, {@link
+   *     ChangeResult.NotLeader} if the driver is closed or has stopped
    */
-  Future<ChangeResult> propose(Proposal proposal, Duration patience) {
+  Future<ChangeResult> propose(Proposal proposal, Duration timeout) {
     Promise<ChangeResult> promise = Promise.promise();
-    boolean taken =
-        later(
+    boolean queued =
+        enqueue(
             now -> {
               long ticket = nextTicket++;
-              waiting.put(ticket, promise);
-              thread.schedule(
-                  () -> decide(ticket, new ChangeResult.Unknown()),
-                  patience.toMillis(),
+              pendingProposals.put(ticket, promise);
+              executor.schedule(
+                  () -> completeProposal(ticket, new ChangeResult.Unknown()),
+                  timeout.toMillis(),
                   TimeUnit.MILLISECONDS);
               return proposal.propose(ticket, now);
             });
-    if (!taken) {
+    if (!queued) {
       promise.complete(new ChangeResult.NotLeader(Optional.empty()));
     }
     return promise.future();
   }
 
   private void step(LongFunction<Output> action) {
-    ConsensusMember.Role before = member.role();
+    ConsensusMember.Role roleBefore = member.role();
     long termBefore = member.term();
     try {
-      Output out = action.apply(steadyMillis());
-      out.messages().forEach(m -> listener.send(m.to(), m.message()));
-      listener.stepped(member, out.committed());
-      out.decisions().forEach(d -> decide(d.ticket(), d.result()));
+      Output output = action.apply(steadyMillis());
+      output.messages().forEach(m -> listener.send(m.to(), m.message()));
+      listener.onStep(member, output.committed());
+      output.decisions().forEach(d -> completeProposal(d.proposalId(), d.result()));
     } catch (RuntimeException e) {
       LOG.log(System.Logger.Level.ERROR, "control.stopped", e);
-      thread.shutdownNow();
+      executor.shutdownNow();
       closeLog();
-      waiting.values().forEach(p -> p.tryComplete(new ChangeResult.Unknown()));
+      pendingProposals.values().forEach(p -> p.tryComplete(new ChangeResult.Unknown()));
       onDiskFailure.accept(e);
       return;
     }
-    if (member.role() != before || member.term() != termBefore) {
+    if (member.role() != roleBefore || member.term() != termBefore) {
       LOG.log(
           System.Logger.Level.INFO,
           "control.role",
@@ -159,8 +163,8 @@
     }
   }
 
-  private void decide(long ticket, ChangeResult result) {
-    Promise<ChangeResult> promise = waiting.remove(ticket);
+  private void completeProposal(long ticket, ChangeResult result) {
+    Promise<ChangeResult> promise = pendingProposals.remove(ticket);
     if (promise != null) {
       promise.tryComplete(result);
     }
@@ -168,9 +172,9 @@
 
   @Override
   public void close() throws IOException, InterruptedException {
-    thread.shutdown();
-    if (!thread.awaitTermination(CLOSE_SECONDS, TimeUnit.SECONDS)) {
-      thread.shutdownNow();
+    executor.shutdown();
+    if (!executor.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+      executor.shutdownNow();
     }
     log.close();
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/FaultApi.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/FaultApi.java
@@ -16,17 +16,17 @@
 import org.lacewingcroft.peer.Membership;
 
 /**
- * Fault injection for experiments, off unless {@code --fault-injection} is set: {@code POST
- * /v1/faults} with {@code {"cutRegions": ["r"], "delayMillis": 50}} replaces the faults on this
- * daemon's links to other regions.
+ * The fault injection API for experiments, disabled unless {@code --fault-injection} is set: {@code
+ * POST /v1/faults} with {@code {"cutRegions": ["r"], "delayMillis": 50}} replaces the faults on
+ * this daemon's links to other regions.
  */
 final class FaultApi {
   private final Membership membership;
-  private final Consumer<LinkFaults> sink;
+  private final Consumer<LinkFaults> faultSink;
 
-  FaultApi(Membership membership, Consumer<LinkFaults> sink) {
+  FaultApi(Membership membership, Consumer<LinkFaults> faultSink) {
     this.membership = membership;
-    this.sink = sink;
+    this.faultSink = faultSink;
   }
 
   void mount(Router router) {
@@ -50,7 +50,7 @@
             cutRegions,
             body.path("delayMillis").asLong(0),
             membership::regionOf);
-    sink.accept(faults);
+    faultSink.accept(faults);
     ObjectNode reply = JsonReply.JSON.createObjectNode();
     reply.set("cutRegions", JsonReply.JSON.valueToTree(cutRegions));
     reply.put("delayMillis", faults.delayMillis());
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/PeerTransport.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/PeerTransport.java
@@ -19,31 +19,32 @@
 import org.lacewingcroft.logging.LogContext;
 
 /**
- * The peer transport: TCP connections carrying frames of {@link FrameCodec}, one outgoing
- * connection per peer address, reopened on demand after a failure.
+ * The peer transport: TCP connections that carry frames of {@link FrameCodec}, with one outgoing
+ * connection per peer address, which is reopened on demand after a failure.
  *
- * <p>A frame that is too large or fails authentication closes the connection it came on and is
- * logged; nothing in it is acted on. Sends are fire-and-forget: callers that need an answer get it
- * as another message, and heartbeats repair what a lost frame missed.
+ * <p>A frame that is too large or fails authentication is logged and discarded, and its connection
+ * is closed. Sends are fire-and-forget: a response, where one is needed, arrives as a separate
+ * message, and heartbeats make up for lost frames.
  */
 public final class PeerTransport implements AutoCloseable {
   private static final System.Logger LOG = System.getLogger(PeerTransport.class.getName());
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
-  /** Pause between checks of a connection in use. */
-  private static final long PING_MILLIS = 1_000;
+  /** Interval between liveness checks of a connection in use. */
+  private static final long PING_INTERVAL_MILLIS = 1_000;
 
   /**
-   * Silence after a ping that proves a connection dead, in ms: several round trips between regions
-   * and a resent packet. A link that went silent without a reset is noticed by nothing else.
+   * Time without data after a ping after which a connection counts as dead: several round trips
+   * between regions and a retransmitted packet. Nothing else detects a link that stops delivering
+   * without a TCP reset.
    */
-  private static final long DEAD_MILLIS = 1_300;
+  private static final long PONG_TIMEOUT_MILLIS = 1_300;
 
   private final Vertx vertx;
   private final FrameCodec codec;
   private final NetClient client;
   private final Map<String, Future<NetSocket>> connections = new ConcurrentHashMap<>();
-  private final Map<String, Watch> watches = new ConcurrentHashMap<>();
+  private final Map<String, LivenessCheck> livenessChecks = new ConcurrentHashMap<>();
   private final AtomicLong framesRejected = new AtomicLong();
   private final AtomicLong bytesSent = new AtomicLong();
   private final AtomicLong bytesReceived = new AtomicLong();
@@ -52,10 +53,10 @@
   private NetServer server;
 
   /**
-   * Creates the transport.
+   * Creates a transport that does not listen yet.
    *
-   * @param vertx the Vert.x instance whose event loops run it
-   * @param codec the frame codec keyed by the shared secret
+   * @param vertx the Vert.x instance whose event loops run the transport
+   * @param codec the frame codec, keyed with the shared secret
    */
   public PeerTransport(Vertx vertx, FrameCodec codec) {
     this.vertx = vertx;
@@ -65,12 +66,13 @@
   }
 
   /**
-   * Starts listening.
+   * Starts listening for connections of peers.
    *
    * @param host the address to bind
    * @param port the port, 0 for a free one
-   * @param handler receives every authenticated message with the sender's stamp
-   * @return the port bound
+   * @param handler receives every authenticated message with the sender's hybrid logical clock
+   *     timestamp
+   * @return the bound port
    */
   public Future<Integer> listen(String host, int port, BiConsumer<String, PeerMessage> handler) {
     server = vertx.createNetServer(new NetServerOptions().setHost(host).setPort(port));
@@ -78,27 +80,27 @@
     return server.listen().map(NetServer::actualPort);
   }
 
-  /** Sets the faults that experiments inject on the links to peers. */
-  public void setFaults(LinkFaults injected) {
-    this.faults = injected;
+  /** Sets the faults to inject on the links to peers, for experiments. */
+  public void setFaults(LinkFaults newFaults) {
+    this.faults = newFaults;
   }
 
-  /** Returns how many frames were refused for size or tag. */
+  /** Returns the number of frames rejected for their size or authentication tag. */
   public long framesRejected() {
     return framesRejected.get();
   }
 
-  /** Returns what the messages cost by kind. */
+  /** Returns the message counters by kind. */
   public PeerTraffic traffic() {
     return traffic;
   }
 
-  /** Returns the bytes sent, frames included. */
+  /** Returns the number of bytes sent, including frame overhead. */
   public long bytesSent() {
     return bytesSent.get();
   }
 
-  /** Returns the bytes received. */
+  /** Returns the number of bytes received. */
   public long bytesReceived() {
     return bytesReceived.get();
   }
@@ -108,19 +110,19 @@
     sendAll(List.of(address), message);
   }
 
-  /** Sends a message to several peer addresses; it is encoded and authenticated once. */
+  /** Sends a message to several peer addresses, encoding and authenticating it only once. */
   public void sendAll(Collection<String> addresses, PeerMessage message) {
     if (addresses.isEmpty()) {
       return;
     }
-    long begunNanos = System.nanoTime();
+    long startNanos = System.nanoTime();
     byte[] frame = codec.encode(LogContext.clock().tick(), message);
-    traffic.sent(message, addresses.size(), frame.length, System.nanoTime() - begunNanos);
+    traffic.recordSent(message, addresses.size(), frame.length, System.nanoTime() - startNanos);
     addresses.forEach(address -> sendFrame(address, frame));
   }
 
   private void sendFrame(String address, byte[] frame) {
-    if (faults.cutsPeer(address)) {
+    if (faults.dropsFramesTo(address)) {
       return;
     }
     long delayMillis = faults.delayMillis(address);
@@ -136,9 +138,9 @@
         .onSuccess(
             socket -> {
               bytesSent.addAndGet(frame.length);
-              Watch watch = watches.get(address);
-              if (watch != null) {
-                watch.used = true;
+              LivenessCheck check = livenessChecks.get(address);
+              if (check != null) {
+                check.usedSincePing = true;
               }
               socket.write(Buffer.buffer(frame));
             })
@@ -161,52 +163,52 @@
     return connections.computeIfAbsent(
         address,
         a -> {
-          Future<NetSocket> f = client.connect(SocketAddresses.parse(a));
-          f.onSuccess(
-              s -> {
-                Watch watch = new Watch(s);
-                watches.put(a, watch);
-                s.closeHandler(
+          Future<NetSocket> connecting = client.connect(SocketAddresses.parse(a));
+          connecting.onSuccess(
+              socket -> {
+                LivenessCheck check = new LivenessCheck(socket);
+                livenessChecks.put(a, check);
+                socket.closeHandler(
                     v -> {
-                      connections.remove(a, f);
-                      watches.remove(a, watch);
-                      watch.stop();
+                      connections.remove(a, connecting);
+                      livenessChecks.remove(a, check);
+                      check.stop();
                     });
-                s.exceptionHandler(e -> s.close());
-                s.handler(b -> watch.heard());
+                socket.exceptionHandler(e -> socket.close());
+                socket.handler(b -> check.onData());
               });
-          return f;
+          return connecting;
         });
   }
 
-  /** Closes a connection on which a ping stays unanswered. */
-  private final class Watch {
+  /** Pings the peer of a connection in use and closes the connection if no data arrives in time. */
+  private final class LivenessCheck {
     private final NetSocket socket;
     private final long timer;
-    private long sentSinceNanos;
-    private boolean used;
+    private long unansweredPingNanos;
+    private boolean usedSincePing;
 
-    private Watch(NetSocket socket) {
+    private LivenessCheck(NetSocket socket) {
       this.socket = socket;
-      this.timer = vertx.setPeriodic(PING_MILLIS, id -> check());
+      this.timer = vertx.setPeriodic(PING_INTERVAL_MILLIS, id -> check());
     }
 
     private void check() {
       long now = System.nanoTime();
-      if (sentSinceNanos != 0
-          && TimeUnit.NANOSECONDS.toMillis(now - sentSinceNanos) > DEAD_MILLIS) {
+      if (unansweredPingNanos != 0
+          && TimeUnit.NANOSECONDS.toMillis(now - unansweredPingNanos) > PONG_TIMEOUT_MILLIS) {
         LOG.log(System.Logger.Level.WARNING, "peer.silent", "peer", socket.remoteAddress());
         socket.close();
-      } else if (used && sentSinceNanos == 0) {
-        used = false;
-        sentSinceNanos = now;
+      } else if (usedSincePing && unansweredPingNanos == 0) {
+        usedSincePing = false;
+        unansweredPingNanos = now;
         socket.write(
             Buffer.buffer(codec.encode(LogContext.clock().tick(), new PeerMessage.Ping())));
       }
     }
 
-    private void heard() {
-      sentSinceNanos = 0;
+    private void onData() {
+      unansweredPingNanos = 0;
     }
 
     private void stop() {
@@ -228,9 +230,10 @@
             }
             expectLength[0] = true;
             parser.fixedSizeMode(FrameCodec.LENGTH_BYTES);
-            long begunNanos = System.nanoTime();
+            long startNanos = System.nanoTime();
             FrameCodec.Frame frame = codec.decode(buffer.getBytes());
-            traffic.received(frame.message(), buffer.length(), System.nanoTime() - begunNanos);
+            traffic.recordReceived(
+                frame.message(), buffer.length(), System.nanoTime() - startNanos);
             LogContext.clock().receive(frame.stamp());
             if (frame.message() instanceof PeerMessage.Ping) {
               socket.write(
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/EndpointTracker.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/EndpointTracker.java
@@ -15,95 +15,110 @@
 import org.lacewingcroft.misc.Rendezvous;
 
 /**
- * What one entry knows of one endpoint beyond its record: the work it has in flight there, what the
- * region's other entries told of theirs, how fast and how reliably it answers, and which prefixes
- * it holds. {@link Placer} decides by it.
+ * Holds the state that one entry keeps about one endpoint in addition to its record: this entry's
+ * requests in flight, the load that the region's other entries report, prefill speed, time per
+ * output token, failures, and cached prompt prefixes. {@link Placer} bases its decisions on it.
  *
- * <p>Not thread-safe: owned by the entry's event loop.
+ * <p>Not thread-safe: confined to the entry's event loop thread.
  */
 public final class EndpointTracker {
-  /** Priorities told apart; the platform of the model engines knows ten. */
+  /** Number of request priorities; the model engines' platform distinguishes ten. */
   public static final int PRIORITIES = 10;
 
-  /** Prompt tokens read in a millisecond, until measured: a large model on a recent accelerator. */
-  private static final double INITIAL_TOKENS_PER_MILLI = 80;
+  /** Prefill speed assumed before the first measurement: a large model on a recent accelerator. */
+  private static final double INITIAL_PREFILL_TOKENS_PER_MILLI = 80;
 
-  /** Bounds of a believable measurement of the same. */
-  private static final double MIN_TOKENS_PER_MILLI = 4;
+  /** Bounds of a plausible prefill speed; measured samples are clamped to them. */
+  private static final double MIN_PREFILL_TOKENS_PER_MILLI = 4;
 
-  private static final double MAX_TOKENS_PER_MILLI = 120;
+  private static final double MAX_PREFILL_TOKENS_PER_MILLI = 120;
 
-  /** Prompts shorter than this say more about the network than about the engine's speed. */
-  private static final long MEASURABLE_TOKENS = 1_500;
+  /**
+   * Shorter prefills are not sampled: their time depends more on the network than on the engine.
+   */
+  private static final long MIN_SAMPLE_TOKENS = 1_500;
 
-  /** Time a request takes at a plain service, until measured. */
-  private static final double INITIAL_SERVICE_MILLIS = 30;
+  /** Service time of a request at a plain service, assumed before the first measurement. */
+  private static final double INITIAL_SERVICE_TIME_MILLIS = 30;
 
-  /** Weight of a new sample in the running averages: about the last ten count. */
+  /** Weight of a new sample in the exponential moving averages, which cover about ten samples. */
   private static final double SAMPLE_WEIGHT = 0.1;
 
   /**
-   * Silence of an endpoint that owes an answer after which new work avoids it: engines yield a byte
-   * of some stream many times a second, and callers give up after two seconds.
+   * Time without a byte after which an endpoint with requests in flight gets no new requests while
+   * another endpoint is available: engines send a byte of some stream many times a second, and
+   * callers time out after two seconds.
    */
-  private static final Duration SUSPICIOUS_SILENCE = Duration.ofMillis(800);
+  private static final Duration UNRESPONSIVE_TIMEOUT = Duration.ofMillis(800);
 
-  /** How long an endpoint that refused a connection is left alone at first, doubling up to 2 s. */
-  private static final long REFUSED_PAUSE_MILLIS = 250;
+  /**
+   * Backoff after the first failed connection attempt or unresponsive period; it doubles with each
+   * further one.
+   */
+  private static final long INITIAL_BACKOFF_MILLIS = 250;
 
-  private static final long MAX_REFUSED_PAUSE_MILLIS = 2_000;
+  private static final long MAX_BACKOFF_MILLIS = 2_000;
 
-  /** Least pause between two requests of one entry to a cold endpoint: its bound is a second. */
-  private static final Duration COLD_PAUSE = Duration.ofMillis(1_100);
+  /**
+   * Minimum interval between two requests of one entry to a cold endpoint: its limit applies to
+   * each second, in which one entry then sends at most one request.
+   */
+  private static final Duration MIN_COLD_REQUEST_INTERVAL = Duration.ofMillis(1_100);
 
-  /** Time in which a remembered failure counts half. */
+  /** Time after which a recorded failure has half its weight. */
   private static final double FAILURE_HALF_LIFE_MILLIS = 2_000;
 
-  /** Recent failures below which an endpoint is taken to yield what it holds. */
-  private static final double MOST_FAILURES_OF_SOURCE = 0.5;
+  /** Failure score below which an endpoint is used as a source of KV cache. */
+  private static final double MAX_SOURCE_FAILURE_SCORE = 0.5;
 
   private EndpointRecord record;
   private Instant coldUntil;
-  private boolean wrongInstance;
-  private int running;
-  private final ReadingQueue reading = new ReadingQueue();
-  private final Map<String, PeerWork> peers = new HashMap<>();
-  private final List<InFlightRequest> open = new ArrayList<>();
-  private final PrefixMemory prefixes = new PrefixMemory();
-  private final PrefixMemory readPrefixes = new PrefixMemory();
-  private final TokenPace pace = new TokenPace();
+  private boolean replaced;
+  private int inFlight;
+  private final PrefillQueue prefillQueue = new PrefillQueue();
+  private final Map<String, PeerLoad> peerLoads = new HashMap<>();
+  private final List<InFlightRequest> openRequests = new ArrayList<>();
+
+  /** Prefixes of all prompts sent to the endpoint, including those still being prefilled. */
+  private final PrefixCacheModel expectedPrefixes = new PrefixCacheModel();
+
+  /** Prefixes that the endpoint has prefilled, as shown by responses. */
+  private final PrefixCacheModel confirmedPrefixes = new PrefixCacheModel();
+
+  private final OutputTokenTime outputTokenTime = new OutputTokenTime();
   private final AdvertisedConditions conditions;
 
   /**
-   * Reading speed by priority. It is measured apart, because more urgent requests that arrive later
-   * are read first: what is left for the less urgent shrinks with the load, and a wait foretold
-   * from the engine's full speed would be too short by far.
+   * Prefill speed by priority, in tokens a millisecond. It is measured separately for each
+   * priority, because the engine processes more urgent requests first even if they arrive later:
+   * the speed left for less urgent requests drops as the load rises, and a wait estimated from the
+   * engine's full speed would be far too short.
    */
-  private final double[] tokensPerMilli = new double[PRIORITIES];
+  private final double[] prefillTokensPerMilli = new double[PRIORITIES];
 
-  private double serviceMillis = INITIAL_SERVICE_MILLIS;
+  private double serviceTimeMillis = INITIAL_SERVICE_TIME_MILLIS;
   private double failureScore;
-  private Instant failureAt = Instant.EPOCH;
+  private Instant lastFailureAt = Instant.EPOCH;
   private Instant lastByteAt = Instant.EPOCH;
-  private Instant refusedUntil = Instant.EPOCH;
-  private int refusals;
-  private Instant coldSentAt = Instant.EPOCH;
-  private Instant busyUntil = Instant.EPOCH;
-  private Instant silentUntil = Instant.EPOCH;
-  private int silences;
+  private Instant connectBackoffUntil = Instant.EPOCH;
+  private int connectFailures;
+  private Instant lastColdRequestAt = Instant.EPOCH;
+  private Instant fullUntil = Instant.EPOCH;
+  private Instant unresponsiveBackoffUntil = Instant.EPOCH;
+  private int unresponsivePeriods;
 
-  private record PeerWork(int running, Instant at) {}
+  private record PeerLoad(int inFlight, Instant receivedAt) {}
 
-  /** One request in flight at the endpoint. */
+  /** A request in flight at the endpoint. */
   public final class InFlightRequest {
-    private final ReadingQueue.Unread prompt;
+    private final PrefillQueue.PendingPrompt prompt;
     private final double aheadTokens;
     private final Instant sentAt;
     private Optional<Instant> lastEventAt = Optional.empty();
-    private boolean begun;
-    private boolean ended;
+    private boolean firstByteReceived;
+    private boolean finished;
 
-    private InFlightRequest(ReadingQueue.Unread prompt, double aheadTokens) {
+    private InFlightRequest(PrefillQueue.PendingPrompt prompt, double aheadTokens) {
       this.prompt = prompt;
       this.aheadTokens = aheadTokens;
       this.sentAt = prompt.sentAt();
@@ -114,78 +129,83 @@
       return sentAt;
     }
 
-    /** Returns how many tokens of its prompt the endpoint had to read when it was sent. */
+    /**
+     * Returns how many tokens of its prompt the endpoint had to prefill when the request was sent.
+     */
     public long prefillTokens() {
       return prompt.tokens();
     }
 
-    /** Notes bytes of the answer; the first ones end the reading of the prompt. */
+    /** Records bytes of the response; the first ones mark the end of the prefill. */
     public void bytesReceived(Instant now) {
       lastByteAt = now;
-      silences = 0;
-      silentUntil = Instant.EPOCH;
-      if (!begun) {
-        begun = true;
-        reading.read(prompt, now);
-        measureSpeed(now);
+      unresponsivePeriods = 0;
+      unresponsiveBackoffUntil = Instant.EPOCH;
+      if (!firstByteReceived) {
+        firstByteReceived = true;
+        prefillQueue.prefilled(prompt, now);
+        samplePrefillSpeed(now);
       }
     }
 
     /**
-     * Notes events of the answer.
+     * Records events of the response.
      *
-     * @param newTokens the tokens in them
+     * @param newTokens the number of output tokens in them
      */
     public void eventsReceived(long newTokens, Instant now) {
-      lastEventAt.ifPresent(at -> pace.sample(Duration.between(at, now), newTokens, now));
+      lastEventAt.ifPresent(
+          at -> outputTokenTime.addSample(Duration.between(at, now), newTokens, now));
       lastEventAt = Optional.of(now);
     }
 
-    private void measureSpeed(Instant now) {
+    private void samplePrefillSpeed(Instant now) {
       double tokens = aheadTokens + prompt.tokens();
       long millis = Duration.between(sentAt, now).toMillis();
-      if (tokens >= MEASURABLE_TOKENS && millis > 0) {
+      if (tokens >= MIN_SAMPLE_TOKENS && millis > 0) {
         double sample = tokens / millis;
-        double bounded = Math.max(MIN_TOKENS_PER_MILLI, Math.min(MAX_TOKENS_PER_MILLI, sample));
-        int p = prompt.priority();
-        tokensPerMilli[p] += SAMPLE_WEIGHT * (bounded - tokensPerMilli[p]);
+        double clamped =
+            Math.max(MIN_PREFILL_TOKENS_PER_MILLI, Math.min(MAX_PREFILL_TOKENS_PER_MILLI, sample));
+        int priority = prompt.priority();
+        prefillTokensPerMilli[priority] +=
+            SAMPLE_WEIGHT * (clamped - prefillTokensPerMilli[priority]);
       }
     }
 
-    /** Ends the request. */
+    /** Ends the request; further calls have no effect. */
     public void finish(Outcome outcome, Instant now) {
-      if (ended) {
+      if (finished) {
         return;
       }
-      ended = true;
-      final boolean silent = owesAnswers(now);
-      open.remove(this);
-      running--;
-      if (!begun) {
-        reading.drop(prompt);
+      finished = true;
+      final boolean unresponsive = isUnresponsive(now);
+      openRequests.remove(this);
+      inFlight--;
+      if (!firstByteReceived) {
+        prefillQueue.remove(prompt);
       }
       if (outcome == Outcome.ANSWERED) {
         double millis = Duration.between(sentAt, now).toMillis();
-        serviceMillis += SAMPLE_WEIGHT * (millis - serviceMillis);
-        refusals = 0;
+        serviceTimeMillis += SAMPLE_WEIGHT * (millis - serviceTimeMillis);
+        connectFailures = 0;
       } else if (outcome == Outcome.FAILED) {
-        failed(1, now);
+        recordFailure(1, now);
       }
-      if (silent && (outcome == Outcome.FAILED || outcome == Outcome.CANCELLED)) {
-        fellSilent(now);
+      if (unresponsive && (outcome == Outcome.FAILED || outcome == Outcome.CANCELLED)) {
+        recordUnresponsivePeriod(now);
       }
     }
   }
 
   /** How a request ended at an endpoint. */
   public enum Outcome {
-    /** It answered, whatever the status, in full. */
+    /** The endpoint sent a complete response, whatever its status. */
     ANSWERED,
-    /** It answered with a server error, broke off or said nothing. */
+    /** The endpoint sent a server error, an incomplete response or nothing. */
     FAILED,
-    /** It refused the request without running it. */
+    /** The endpoint rejected the request without running it. */
     NOT_RUN,
-    /** The caller left, or this instance gave up. */
+    /** The caller disconnected, or this instance cancelled the request. */
     CANCELLED
   }
 
@@ -194,22 +214,22 @@
     this(record, new AdvertisedConditions(), now);
   }
 
-  /** Starts tracking an endpoint that may have stated conditions before. */
+  /** Starts tracking an endpoint whose incarnation may already have advertised conditions. */
   EndpointTracker(EndpointRecord record, AdvertisedConditions conditions, Instant now) {
     this.conditions = conditions;
-    Arrays.fill(tokensPerMilli, INITIAL_TOKENS_PER_MILLI);
+    Arrays.fill(prefillTokensPerMilli, INITIAL_PREFILL_TOKENS_PER_MILLI);
     update(record, now);
   }
 
-  /** Takes a newer record of the same endpoint. */
+  /** Replaces the record with a newer one of the same endpoint. */
   public void update(EndpointRecord newer, Instant now) {
     record = newer;
-    wrongInstance = false;
-    Instant cold = now.plusMillis(newer.coldMillis());
-    coldUntil = coldUntil == null || cold.isAfter(coldUntil) ? cold : coldUntil;
+    replaced = false;
+    Instant newColdUntil = now.plusMillis(newer.coldMillis());
+    coldUntil = coldUntil == null || newColdUntil.isAfter(coldUntil) ? newColdUntil : coldUntil;
   }
 
-  /** Treats the endpoint as cold until an instant. */
+  /** Treats the endpoint as cold at least until an instant. */
   public void extendColdUntil(Instant until) {
     coldUntil = until.isAfter(coldUntil) ? until : coldUntil;
   }
@@ -219,12 +239,12 @@
     return record;
   }
 
-  /** Returns on which conditions the endpoint takes requests. */
+  /** Returns the conditions under which the endpoint accepts requests. */
   public AdvertisedConditions conditions() {
     return conditions;
   }
 
-  /** Returns the rate that the endpoint takes from all entries together. */
+  /** Returns the rate limit that the endpoint advertises for all entries together. */
   public EndpointRateLimit rateLimit() {
     return conditions.rateLimit();
   }
@@ -234,19 +254,22 @@
     return coldUntil.isAfter(now);
   }
 
-  /** Returns when this entry last had a byte of an answer, or began to send while idle. */
+  /**
+   * Returns when this entry last received a byte of a response, or sent a request while it had none
+   * in flight there, whichever is later.
+   */
   public Instant lastByteAt() {
     return lastByteAt;
   }
 
-  /** Returns the requests of this entry in flight there. */
+  /** Returns the number of this entry's requests in flight at the endpoint. */
   public int inFlight() {
-    return running;
+    return inFlight;
   }
 
-  /** Returns this entry's prompts that the endpoint has not read yet. */
+  /** Returns this entry's prompts that the endpoint has not prefilled yet. */
   public List<FleetMessage.UnreadPrompt> pendingPrompts(Instant now) {
-    return reading.own().stream()
+    return prefillQueue.ownPrompts().stream()
         .map(
             p ->
                 new FleetMessage.UnreadPrompt(
@@ -254,135 +277,137 @@
         .toList();
   }
 
-  /** Takes another entry's report of its work there. */
+  /** Replaces the load that another entry last reported for this endpoint. */
   public void updatePeerLoad(
-      String entry, int peerRunning, List<FleetMessage.UnreadPrompt> prompts, Instant now) {
-    if (peerRunning == 0) {
-      peers.remove(entry);
+      String entry, int peerInFlight, List<FleetMessage.UnreadPrompt> prompts, Instant now) {
+    if (peerInFlight == 0) {
+      peerLoads.remove(entry);
     } else {
-      peers.put(entry, new PeerWork(peerRunning, now));
+      peerLoads.put(entry, new PeerLoad(peerInFlight, now));
     }
-    reading.heard(
+    prefillQueue.updatePeer(
         entry,
         prompts.stream()
             .map(
                 p ->
-                    new ReadingQueue.Unread(
+                    new PrefillQueue.PendingPrompt(
                         p.priority(), p.tokens(), now.minusMillis(p.ageMillis())))
             .toList(),
         now);
   }
 
   /**
-   * Begins a request there.
+   * Records a request that is sent to the endpoint now.
    *
-   * @param fetchedTokens the tokens of its prompt that the endpoint fetches instead of reading them
+   * @param fetchedTokens the number of prompt tokens whose KV cache the endpoint fetches instead of
+   *     prefilling them
    */
   public InFlightRequest startRequest(
       PlacementRequest request, long fetchedTokens, long kvCapacityTokens, Instant now) {
-    int priority = bounded(request.priority());
-    double ahead = tokensAhead(priority, now);
-    long unread = Math.max(0, uncachedTokens(request) - fetchedTokens);
-    InFlightRequest ticket =
-        new InFlightRequest(new ReadingQueue.Unread(priority, unread, now), ahead);
-    if (running == 0) {
+    int priority = clampPriority(request.priority());
+    double aheadTokens = tokensAhead(priority, now);
+    long prefillTokens = Math.max(0, uncachedTokens(request) - fetchedTokens);
+    InFlightRequest inFlightRequest =
+        new InFlightRequest(
+            new PrefillQueue.PendingPrompt(priority, prefillTokens, now), aheadTokens);
+    if (inFlight == 0) {
       lastByteAt = now;
     }
-    running++;
-    open.add(ticket);
-    reading.add(ticket.prompt);
+    inFlight++;
+    openRequests.add(inFlightRequest);
+    prefillQueue.add(inFlightRequest.prompt);
     if (!request.parts().isEmpty()) {
-      prefixes.read(request.parts(), kvCapacityTokens);
+      expectedPrefixes.add(request.parts(), kvCapacityTokens);
     }
     if (isCold(now)) {
-      coldSentAt = now;
+      lastColdRequestAt = now;
     }
     rateLimit().recordSend(now);
-    return ticket;
+    return inFlightRequest;
   }
 
-  /** Notes that a connection could not be had. */
+  /** Records that a connection to the endpoint could not be established. */
   public void recordConnectFailure(Instant now) {
-    refusals++;
-    refusedUntil = now.plusMillis(pauseMillis(refusals));
+    connectFailures++;
+    connectBackoffUntil = now.plusMillis(backoffMillis(connectFailures));
   }
 
   /**
-   * Notes that a request ended while the endpoint owed answers and said nothing. Without this the
-   * endpoint would look idle once the last such request has ended, and get all the work again.
+   * Records that a request ended while the endpoint was unresponsive. Without this the endpoint
+   * would look idle once the last such request has ended, and would get all new requests again.
    */
-  private void fellSilent(Instant now) {
-    silences++;
-    silentUntil = now.plusMillis(pauseMillis(silences));
+  private void recordUnresponsivePeriod(Instant now) {
+    unresponsivePeriods++;
+    unresponsiveBackoffUntil = now.plusMillis(backoffMillis(unresponsivePeriods));
   }
 
-  private static long pauseMillis(int times) {
-    long pause = REFUSED_PAUSE_MILLIS << Math.min(8, times - 1);
-    return Math.min(MAX_REFUSED_PAUSE_MILLIS, pause);
+  private static long backoffMillis(int count) {
+    long millis = INITIAL_BACKOFF_MILLIS << Math.min(8, count - 1);
+    return Math.min(MAX_BACKOFF_MILLIS, millis);
   }
 
   /**
-   * Returns whether the endpoint has not answered since it fell silent: connections to it from
-   * before may lead nowhere, and what is written to them may or may not run.
+   * Returns whether the endpoint has sent no byte since it was last unresponsive: connections
+   * opened before may be dead, and a request written to one of them may or may not run.
    */
   public boolean isUnconfirmed() {
-    return silences > 0;
+    return unresponsivePeriods > 0;
   }
 
-  /** Notes that another incarnation answers at the address. */
+  /** Records that another incarnation answers at the endpoint's address. */
   public void markReplaced() {
-    wrongInstance = true;
+    replaced = true;
   }
 
-  /** Notes that the endpoint refused a request because it is full. */
+  /** Records that the endpoint rejected a request because it is full. */
   public void markFull(Instant now) {
-    busyUntil = now.plusMillis(Math.round(Math.min(500, Math.max(50, serviceMillis))));
+    fullUntil = now.plusMillis(Math.round(Math.min(500, Math.max(50, serviceTimeMillis))));
   }
 
-  private void failed(double weight, Instant now) {
+  private void recordFailure(double weight, Instant now) {
     failureScore = failureScore(now) + weight;
-    failureAt = now;
+    lastFailureAt = now;
   }
 
   private double failureScore(Instant now) {
     if (failureScore == 0) {
       return 0;
     }
-    double millis = Duration.between(failureAt, now).toMillis();
+    double millis = Duration.between(lastFailureAt, now).toMillis();
     return failureScore * Math.pow(0.5, Math.min(100, millis / FAILURE_HALF_LIFE_MILLIS));
   }
 
-  /** Returns the recent failures, each counting less the older it is. */
+  /** Returns a score of the recent failures; the weight of each decreases with its age. */
   public double recentFailures(Instant now) {
     return failureScore(now);
   }
 
-  /** Returns whether the endpoint may get new work at all. */
+  /** Returns whether the endpoint may get new requests at all. */
   public boolean acceptsRequests(Instant now) {
-    return inService(now) && conditions.remainingPause(now).isZero();
+    return isInService(now) && conditions.remainingPause(now).isZero();
   }
 
-  /** Returns whether the endpoint takes work but for a pause that it asked for. */
-  private boolean inService(Instant now) {
+  /** Returns whether the endpoint accepts requests, apart from any pause that it requested. */
+  private boolean isInService(Instant now) {
     return record.state() == EndpointState.READY
         && !conditions.isDraining()
-        && !wrongInstance
-        && !refusedUntil.isAfter(now);
+        && !replaced
+        && !connectBackoffUntil.isAfter(now);
   }
 
   /**
-   * Returns how many entries share the rate that the endpoint states.
+   * Returns how many entries share the rate that the endpoint advertises.
    *
    * @param entry this entry's name
    * @param regionEntries the names of the region's entries
-   * @return 0 if this entry is none of them
+   * @return 0 if this entry is not one of them
    */
-  private int rateSenders(String entry, List<String> regionEntries) {
+  private int rateSenderCount(String entry, List<String> regionEntries) {
     int senders = Math.min(rateLimit().maxSenders(), regionEntries.size());
     return isAmongFirst(entry, regionEntries, senders) ? senders : 0;
   }
 
-  /** Returns whether an entry is one of the first in the order in which they use the endpoint. */
+  /** Returns whether an entry is among the first entries in the endpoint's rendezvous order. */
   boolean isAmongFirst(String entry, List<String> regionEntries, int count) {
     return regionEntries.size() <= count
         || Rendezvous.rank(regionEntries, n -> n, record.id()).stream()
@@ -390,124 +415,131 @@
             .anyMatch(entry::equals);
   }
 
-  /** Returns whether the rate that the endpoint states bears one more request of this entry now. */
+  /** Returns whether the advertised rate limit admits one more request of this entry now. */
   public boolean withinRate(String entry, List<String> regionEntries, Instant now) {
     return rateLimit().perSecond().isEmpty()
-        || rateLimit().admits(rateSenders(entry, regionEntries), now);
+        || rateLimit().admits(rateSenderCount(entry, regionEntries), now);
   }
 
   /**
-   * Returns how long until the conditions that the endpoint states bear one more request.
+   * Returns how long until the advertised conditions admit one more request.
    *
-   * @return empty if it is out of service for another reason
+   * @return empty if the endpoint accepts no requests for another reason
    */
-  Optional<Duration> untilConditionsHold(String entry, List<String> regionEntries, Instant now) {
-    if (!inService(now)) {
+  Optional<Duration> timeUntilAdmitted(String entry, List<String> regionEntries, Instant now) {
+    if (!isInService(now)) {
       return Optional.empty();
     }
-    Duration rate = rateLimit().untilAdmitted(rateSenders(entry, regionEntries), now);
-    Duration pause = conditions.remainingPause(now);
-    return Optional.of(rate.compareTo(pause) > 0 ? rate : pause);
+    Duration rateDelay = rateLimit().untilAdmitted(rateSenderCount(entry, regionEntries), now);
+    Duration remainingPause = conditions.remainingPause(now);
+    return Optional.of(rateDelay.compareTo(remainingPause) > 0 ? rateDelay : remainingPause);
   }
 
-  /** Returns whether a cold endpoint bears one more request of this entry now. */
-  public boolean coldPauseOver(Instant now) {
-    return !coldSentAt.plus(COLD_PAUSE).isAfter(now);
+  /** Returns whether this entry may send one more request to the endpoint now while it is cold. */
+  public boolean admitsColdRequest(Instant now) {
+    return !lastColdRequestAt.plus(MIN_COLD_REQUEST_INTERVAL).isAfter(now);
   }
 
   /**
-   * Returns whether another endpoint may be told to fetch KV cache from it. An endpoint that has
-   * just crashed is known by its broken answers long before its record says so; what it was to
-   * yield is read in full instead, unforeseen: after the crash of one of four engines three prompts
-   * of 13,000 to 29,000 tokens went to one other, 68,000 tokens to read where 17,000 were expected,
-   * and the questions behind them had their first bytes after 2.5 s instead of 0.6 s.
+   * Returns whether other endpoints may fetch KV cache from this one. After a crash, lost
+   * connections show the failure long before the record does. A prefix that cannot be fetched is
+   * prefilled in full, which the wait estimates do not include: when one of four engines crashes,
+   * three prompts of 13,000 to 29,000 tokens sent to a single other engine can take 68,000 tokens
+   * of prefill instead of an estimated 17,000, which delays the first bytes of the requests behind
+   * them from 0.6 s to 2.5 s.
    */
   public boolean isPrefixSource(Instant now) {
-    return acceptsRequests(now) && !isSuspect(now) && failureScore(now) < MOST_FAILURES_OF_SOURCE;
+    return acceptsRequests(now) && !isSuspect(now) && failureScore(now) < MAX_SOURCE_FAILURE_SCORE;
   }
 
-  /** Returns whether the endpoint owes answers and is or was a moment ago silent for too long. */
+  /** Returns whether the endpoint is unresponsive or in backoff after an unresponsive period. */
   public boolean isSuspect(Instant now) {
-    return owesAnswers(now) || silentUntil.isAfter(now);
+    return isUnresponsive(now) || unresponsiveBackoffUntil.isAfter(now);
   }
 
-  /** Returns whether the endpoint owes answers and has been silent for too long. */
-  public boolean owesAnswers(Instant now) {
-    Instant limit = now.minus(SUSPICIOUS_SILENCE);
-    return !open.isEmpty() && open.get(0).sentAt.isBefore(limit) && lastByteAt.isBefore(limit);
+  /**
+   * Returns whether the endpoint is unresponsive: it has an overdue response and has sent no byte
+   * for too long.
+   */
+  public boolean isUnresponsive(Instant now) {
+    Instant cutoff = now.minus(UNRESPONSIVE_TIMEOUT);
+    return !openRequests.isEmpty()
+        && openRequests.get(0).sentAt.isBefore(cutoff)
+        && lastByteAt.isBefore(cutoff);
   }
 
-  /** Returns whether the endpoint said a moment ago that it is full. */
-  public boolean saidFull(Instant now) {
-    return busyUntil.isAfter(now);
+  /** Returns whether the endpoint rejected a request a moment ago because it was full. */
+  public boolean isFull(Instant now) {
+    return fullUntil.isAfter(now);
   }
 
-  /** Returns how many tokens of the prompt it would have to read. */
+  /** Returns how many tokens of the prompt the endpoint would have to prefill or fetch. */
   public long uncachedTokens(PlacementRequest request) {
-    return Math.max(0, request.promptTokens() - prefixes.heldTokensOf(request.parts()));
+    return Math.max(0, request.promptTokens() - expectedPrefixes.cachedTokensOf(request.parts()));
   }
 
   /**
-   * Notes that the endpoint has read some leading parts of a prompt, as an answer showed here or at
-   * another entry.
+   * Records that the endpoint has prefilled some leading parts of a prompt, as shown by a response
+   * to this entry or to another one.
    */
   public void recordPrefix(List<PromptPart> parts, long kvCapacityTokens) {
-    prefixes.read(parts, kvCapacityTokens);
-    readPrefixes.read(parts, kvCapacityTokens);
+    expectedPrefixes.add(parts, kvCapacityTokens);
+    confirmedPrefixes.add(parts, kvCapacityTokens);
   }
 
   /**
-   * Returns how many leading tokens of the prompt it has read for certain, so that another endpoint
-   * can fetch them: what it was sent a moment ago and may still be reading does not count.
+   * Returns how many leading tokens of the prompt the endpoint is known to have prefilled, so that
+   * another endpoint can fetch them. Prompts that it was sent a moment ago and may still be
+   * prefilling do not count.
    */
   public long fetchableTokens(PlacementRequest request) {
-    return readPrefixes.heldTokensOf(request.sharedParts());
+    return confirmedPrefixes.cachedTokensOf(request.sharedParts());
   }
 
   private double tokensAhead(int priority, Instant now) {
-    return reading.tokensAhead(priority, prefillTokensPerMilli(priority), now);
+    return prefillQueue.tokensAhead(priority, prefillTokensPerMilli(priority), now);
   }
 
-  /** Returns all entries' requests in flight there. */
+  /** Returns the number of all entries' requests in flight at the endpoint. */
   public int allRunning(Instant now) {
-    int all = running;
-    for (PeerWork peer : peers.values()) {
-      if (peer.at.plus(ReadingQueue.PEER_REPORT_VALID).isAfter(now)) {
-        all += peer.running;
+    int total = inFlight;
+    for (PeerLoad peer : peerLoads.values()) {
+      if (peer.receivedAt.plus(PrefillQueue.PEER_REPORT_TTL).isAfter(now)) {
+        total += peer.inFlight;
       }
     }
-    return all;
+    return total;
   }
 
-  /** Returns the time until a request of this priority would begin to be worked on, in ms. */
+  /** Returns the estimated time until a request of this priority starts to be processed, in ms. */
   public double waitMillis(int priority, Instant now) {
     int slots = Math.max(1, record.slots());
-    int over = allRunning(now) + 1 - slots;
-    double slotWait = over > 0 ? serviceMillis * over / slots : 0;
+    int excess = allRunning(now) + 1 - slots;
+    double slotWait = excess > 0 ? serviceTimeMillis * excess / slots : 0;
     return tokensAhead(priority, now) / prefillTokensPerMilli(priority) + slotWait;
   }
 
-  /** Returns how long each token of an answer takes there, in ms. */
+  /** Returns the estimated time per output token, in ms. */
   public double tokenMillis(Instant now) {
-    return pace.millisPerToken(now);
+    return outputTokenTime.millisPerToken(now);
   }
 
-  /** Returns the time from sending a request to the first byte of its answer, in ms. */
+  /** Returns the estimated time from sending a request to the first byte of its response, in ms. */
   public double firstByteMillis(PlacementRequest request, Instant now) {
-    return waitMillis(request.priority(), now) + readMillis(request, uncachedTokens(request));
+    return waitMillis(request.priority(), now) + prefillMillis(request, uncachedTokens(request));
   }
 
-  /** Returns the time to read some tokens of a request, in ms. */
-  public double readMillis(PlacementRequest request, long tokens) {
+  /** Returns the estimated time to prefill some tokens of a request, in ms. */
+  public double prefillMillis(PlacementRequest request, long tokens) {
     return tokens / prefillTokensPerMilli(request.priority());
   }
 
-  /** Returns the reading speed measured for a priority, in prompt tokens a millisecond. */
+  /** Returns the prefill speed measured for a priority, in prompt tokens a millisecond. */
   public double prefillTokensPerMilli(int priority) {
-    return tokensPerMilli[bounded(priority)];
+    return prefillTokensPerMilli[clampPriority(priority)];
   }
 
-  private static int bounded(int priority) {
+  private static int clampPriority(int priority) {
     return Math.max(0, Math.min(PRIORITIES - 1, priority));
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/config/ConfigLearningTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/config/ConfigReceiverTest.java
@@ -11,31 +11,34 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-class ConfigLearningTest {
+class ConfigReceiverTest {
   private static final Instant START = Instant.EPOCH;
 
-  /** One event after the start: what a peer reports or offers, and what is in force after it. */
-  private record Step(long atMillis, String kind, long version, long inForce) {}
+  /**
+   * One event after the start: a version that a peer reports or offers, or a timer tick, and the
+   * active version after it.
+   */
+  private record Step(long atMillis, String kind, long version, long activeVersion) {}
 
-  private static Step report(long atMillis, long version, long inForce) {
-    return new Step(atMillis, "report", version, inForce);
+  private static Step report(long atMillis, long version, long activeVersion) {
+    return new Step(atMillis, "report", version, activeVersion);
   }
 
-  private static Step offer(long atMillis, long version, long inForce) {
-    return new Step(atMillis, "offer", version, inForce);
+  private static Step offer(long atMillis, long version, long activeVersion) {
+    return new Step(atMillis, "offer", version, activeVersion);
   }
 
-  private static Step tick(long atMillis, long inForce) {
-    return new Step(atMillis, "tick", 0, inForce);
+  private static Step tick(long atMillis, long activeVersion) {
+    return new Step(atMillis, "tick", 0, activeVersion);
   }
 
   static Stream<Arguments> schedules() {
     return Stream.of(
         Arguments.of(
-            "holds the first offer back while it listens",
+            "holds back the first offer during the settling time",
             List.of(report(0, 5, 0), offer(10, 5, 0), tick(900, 0), tick(1_000, 5))),
         Arguments.of(
-            "a lagging peer answers first",
+            "a lagging peer responds first",
             List.of(
                 report(0, 5, 0),
                 offer(10, 5, 0),
@@ -43,7 +46,7 @@
                 tick(1_000, 0),
                 offer(1_200, 7, 7))),
         Arguments.of(
-            "the peer with the newest version vanishes",
+            "the peer with the newest version becomes unreachable",
             List.of(
                 report(0, 5, 0),
                 offer(10, 5, 0),
@@ -51,24 +54,24 @@
                 tick(4_999, 0),
                 tick(5_000, 5))),
         Arguments.of(
-            "applies newer versions at once when settled",
+            "applies newer versions immediately after settling",
             List.of(report(0, 5, 0), offer(1_000, 5, 5), offer(1_001, 6, 6), offer(1_002, 4, 6))),
-        Arguments.of("nothing heard", List.of(tick(60_000, 0))));
+        Arguments.of("no reports and no offers", List.of(tick(60_000, 0))));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("schedules")
-  void putsOnlySettledVersionsInForce(String name, List<Step> steps) {
+  void activatesOnlySettledVersions(String name, List<Step> steps) {
     ConfigStore configs = new ConfigStore();
-    ConfigLearning learning = new ConfigLearning(configs, Duration.ofSeconds(1));
+    ConfigReceiver receiver = new ConfigReceiver(configs, Duration.ofSeconds(1));
     for (Step step : steps) {
       Instant now = START.plusMillis(step.atMillis());
       switch (step.kind()) {
-        case "report" -> learning.heard(step.version(), now);
-        case "offer" -> learning.offered(step.version(), "selectors: []", now);
-        default -> learning.tick(now);
+        case "report" -> receiver.onReportedVersion(step.version(), now);
+        case "offer" -> receiver.onOffer(step.version(), "selectors: []", now);
+        default -> receiver.tick(now);
       }
-      assertThat(step.toString(), configs.current().version(), is(step.inForce()));
+      assertThat(step.toString(), configs.current().version(), is(step.activeVersion()));
     }
   }
 }
