--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusMember.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusMember.java
@@ -271,7 +271,7 @@
    * @param proposalId identifies the proposal in its {@link Output.Decision}, which may be returned
    *     by a later step
    * @param command the command, already validated; once a {@link Command.Noop} is committed, this
-   *     member is confirmed to be still the leader, which a linearizable read requires
+   *     member is confirmed to still be the leader, which a linearizable read requires
    * @param nowMillis the current reading of the monotonic clock, in milliseconds
    */
   public Output submit(long proposalId, Command command, long nowMillis) {
@@ -478,10 +478,10 @@
   /**
    * Defers this member's own election to a member that it grants a pre-vote, since two candidates
    * in one term split the vote. A follower postpones its election; of two members that request
-   * pre-votes at once with equal logs, the one whose id sorts later withdraws. With two of five
-   * disks lost and a one-way delay of 55 ms, 99 of 100 simulated group starts have a leader within
-   * 0.86 s, compared with 2.0 s without this rule, and after the loss of a leader another one is
-   * elected within 1.6 s, compared with 3.4 s.
+   * pre-votes at the same time with equal logs, the one whose id sorts later withdraws. With two of
+   * five disks lost and a one-way delay of 55 ms, 99 of 100 simulated group starts have a leader
+   * within 0.86 s, compared with 2.0 s without this rule, and after the loss of a leader another
+   * one is elected within 1.6 s, compared with 3.4 s.
    */
   private void deferElection(String from, ConsensusMessage.VoteRequest request, long nowMillis) {
     boolean equalLogs =
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusMessage.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusMessage.java
@@ -41,8 +41,9 @@
    * @param previousTerm the term at that index
    * @param entries the entries, possibly none
    * @param commitIndex the leader's commit index
-   * @param echoedSession the session in the leader's last response from this follower, which
-   *     distinguishes a message sent after the follower's restart from a delayed one sent before it
+   * @param echoedSession the session in the last response that the leader received from this
+   *     follower, which distinguishes a message sent after the follower's restart from a delayed
+   *     one sent before it
    */
   record AppendRequest(
       long term,
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusTiming.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusTiming.java
@@ -5,8 +5,8 @@
  *
  * @param heartbeatIntervalMillis maximum time between two messages of a leader to the same follower
  * @param electionTimeoutMillis minimum time without a message from the leader before a follower
- *     starts an election; the actual timeout is drawn at random between this and twice this, so
- *     that two members rarely start elections at the same time
+ *     starts an election; the actual timeout is drawn at random between this value and twice this
+ *     value, so that two members rarely start elections at the same time
  * @param compactAfterEntries number of entries after the snapshot at which the log is compacted
  */
 public record ConsensusTiming(
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/GroupPolicy.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/GroupPolicy.java
@@ -11,9 +11,9 @@
  * there are instances to add, and a permanently lost member is replaced by a standby instance.
  *
  * <p>Members are changed one at a time, and a member is added before another is removed, so that
- * the group never has fewer disks than before while a replacement is available. An unresponsive
- * member is removed only after its replacement has joined, so a network partition that heals
- * without a replacement changes nothing.
+ * the number of disks that store the log never decreases while a replacement is available. An
+ * unresponsive member is removed only after its replacement has joined, so a network partition that
+ * heals without a replacement changes nothing.
  *
  * @param targetSize the target number of members: twice the number of tolerated failures plus one
  * @param replaceAfterMillis time without a response, in milliseconds, after which a member may be
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ReplicatedLog.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ReplicatedLog.java
@@ -219,8 +219,8 @@
   }
 
   /**
-   * Replaces the committed prefix by a snapshot if at least {@code limit} entries follow the last
-   * one.
+   * Replaces the committed prefix by a snapshot if at least {@code limit} entries follow the
+   * current snapshot and at least one of them is committed.
    */
   void compactIfLong(int limit) {
     if (tail.size() < limit || commitIndex < firstIndex()) {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/Endpoint.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/Endpoint.java
@@ -16,7 +16,7 @@
  * @param models the models that it serves; empty for plain services
  * @param capacity the number of requests that it serves concurrently before it queues
  * @param checksFencing whether it refuses orders with a stale fencing token
- * @param draining whether it announced that it is draining; it then gets no new requests
+ * @param draining whether it announced that it is draining; it then receives no new requests
  * @param reportedLoad the number of requests in flight that it last reported; reports lag behind
  * @param cachedPrefixes the hashes of the prompt prefixes that its cache events report as cached;
  *     the events arrive late and with gaps
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/EndpointHealth.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/endpoint/EndpointHealth.java
@@ -11,11 +11,11 @@
 /**
  * Records the endpoint failures and pause requests that this entry has observed itself.
  *
- * <p>An endpoint that fails is in backoff for a while, twice as long after each further failure up
- * to a maximum; a success ends the backoff and resets its duration. Leases alone do not suffice,
- * because the lease of an endpoint that has crashed may not have expired yet.
+ * <p>An endpoint that fails is in backoff, whose duration doubles with each further failure up to a
+ * maximum; a success ends the backoff and resets its duration. Leases alone do not suffice, because
+ * the lease of an endpoint that has crashed may not have expired yet.
  *
- * <p>An endpoint that requested a pause gets no requests during the pause, even if there is no
+ * <p>An endpoint that requested a pause receives no requests during the pause, even if there is no
  * other endpoint, because it announced that it would reject them.
  */
 public final class EndpointHealth {
@@ -48,7 +48,10 @@
         });
   }
 
-  /** Records that the endpoint requested a pause; of several pauses the latest end applies. */
+  /**
+   * Records that the endpoint requested a pause; if pauses overlap, the one that expires last
+   * applies.
+   */
   public void recordPause(String endpointId, Duration pause, Instant now) {
     Instant until = now.plus(pause);
     pausedUntil.merge(endpointId, until, (first, second) -> first.isAfter(second) ? first : second);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/error/ErrorKind.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/error/ErrorKind.java
@@ -4,14 +4,14 @@
  * The kinds of failure that the gateway reports to callers, operators and peers.
  *
  * <p>Each kind has an HTTP status, a stable machine-readable code and the remedy that a caller or
- * operator should apply. The kind also tells whether a request was run: {@link #NOT_RUN} and the
- * input errors guarantee that no endpoint received the request, while {@link #OUTCOME_UNKNOWN}
+ * operator should apply. The kind also indicates whether a request was run: {@link #NOT_RUN} and
+ * the input errors guarantee that no endpoint received the request, while {@link #OUTCOME_UNKNOWN}
  * means that an endpoint may have run it.
  */
 public enum ErrorKind {
   /** The request body or a header could not be parsed. */
   MALFORMED_REQUEST(400, "malformed_request", "send a JSON body that matches the documented shape"),
-  /** The request names a model that no selector or endpoint serves. */
+  /** The request names a model that no selector lists and no endpoint serves. */
   UNKNOWN_MODEL(404, "unknown_model", "use a model listed by 'lacewingcroft endpoints'"),
   /** The daemon has no resource at the path. */
   UNKNOWN_PATH(404, "unknown_path", "use a path of docs/OPERATIONS.md, such as GET /v1/models"),
@@ -41,7 +41,7 @@
       "name a fingerprint listed by 'lacewingcroft quarantine --server URL'"),
   /** The organisation exceeded its admission limit; the request was not run. */
   RATE_LIMITED(429, "rate_limited", "slow down and retry after the Retry-After delay"),
-  /** A configuration change was based on an older version than the active one. */
+  /** A configuration change was based on a version other than the latest one. */
   VERSION_CONFLICT(409, "version_conflict", "fetch the current version and rebase the change"),
   /** A configuration document has an unknown key or an invalid value. */
   INVALID_CONFIGURATION(
@@ -55,7 +55,7 @@
       "resend the change with the same X-Change-Id to any control daemon; it is applied once"),
   /** A peer frame or request had an authentication tag that does not match the shared secret. */
   UNAUTHENTICATED(401, "unauthenticated", "use the deployment's secret file (--secret-file)"),
-  /** An order had an older fencing token than one that the receiver has already seen. */
+  /** An order had an older fencing token than the latest one that the receiver has accepted. */
   STALE_FENCING_TOKEN(
       409, "stale_fencing_token", "re-read the current term from the control role and resend"),
   /** The daemon is shutting down and accepts no new requests; the request was not run. */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Gossiper.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Gossiper.java
@@ -14,17 +14,18 @@
 import org.lacewingcroft.peer.PeerMessage;
 
 /**
- * Selects, for each gossip interval, the daemons to which one daemon sends gossip and the content
- * of the messages.
+ * Selects the daemons to which one daemon sends gossip in each gossip interval, and creates the
+ * messages.
  *
- * <p>Within its region a daemon sends to {@link #FANOUT} members; a heartbeat reaches all of them
- * in about log(n) intervals, so the cost per daemon does not grow with the size of the region.
- * Between regions only the {@link #DELEGATES} of a region send: in each interval, each sends a
- * digest of its own region to {@link #REGION_FANOUT} other regions, and members relay the digests
- * of the others that they have received. The {@link MemberInfo} of recently started members is sent
- * for some intervals; of all others, the latest heartbeats of a random sample are sent. Seeds are
- * contacted while no member of the region is known and at regular intervals after that, so that
- * partitions of the membership that lost contact merge again.
+ * <p>Within its region a daemon sends to {@link #FANOUT} members; a heartbeat reaches all n members
+ * of the region in about log(n) intervals, so the cost per daemon does not grow with the size of
+ * the region. Between regions, only {@link #DELEGATES} entries of each region send gossip: in each
+ * interval, each delegate sends a digest of its own region to {@link #REGION_FANOUT} members of
+ * other regions, and members relay the digests of other regions that they have received. The {@link
+ * MemberInfo} of a member is sent for some intervals after its start and occasionally later; the
+ * latest heartbeats are sent for a random sample of members. Seeds are contacted while no member of
+ * the region is known and at regular intervals after that, so that partitions of the membership
+ * that lost contact merge again.
  */
 public final class Gossiper {
   /** Maximum number of members of the own region that receive gossip in an interval. */
@@ -36,11 +37,11 @@
   /** Number of entries of a region that send its digests to other regions. */
   public static final int DELEGATES = 2;
 
-  private static final int NEW_MEMBER_ROUNDS = 8;
-  private static final int ROUNDS_PER_SEED_CONTACT = 8;
+  private static final int NEW_MEMBER_INTERVALS = 8;
+  private static final int INTERVALS_PER_SEED_CONTACT = 8;
   private static final int MAX_MEMBERS_PER_RESPONSE = 4;
   private static final int HEARTBEAT_SAMPLE_SIZE = 20;
-  private static final int ROUNDS_PER_RANDOM_MEMBER_INFO = 4;
+  private static final int INTERVALS_PER_RANDOM_MEMBER_INFO = 4;
 
   private final MemberInfo self;
   private final List<String> seeds;
@@ -94,7 +95,7 @@
     }
     Set<String> replyAddresses = new LinkedHashSet<>();
     boolean isolated = trackedMembers.stream().noneMatch(this::isInRegion);
-    if (!seeds.isEmpty() && (isolated || heartbeatCounter % ROUNDS_PER_SEED_CONTACT == 0)) {
+    if (!seeds.isEmpty() && (isolated || heartbeatCounter % INTERVALS_PER_SEED_CONTACT == 0)) {
       replyAddresses.add(seeds.get(random.nextInt(seeds.size())));
     }
     if (table.hasUnknownMembers()) {
@@ -244,15 +245,15 @@
     trackedMembers.stream()
         .filter(
             m ->
-                m.heartbeat().counter() <= NEW_MEMBER_ROUNDS
-                    || heartbeatCounter <= NEW_MEMBER_ROUNDS)
+                m.heartbeat().counter() <= NEW_MEMBER_INTERVALS
+                    || heartbeatCounter <= NEW_MEMBER_INTERVALS)
         .sorted(Comparator.comparingLong((Member m) -> m.heartbeat().counter()))
         .map(Member::info)
         .forEach(infos::add);
     trackedMembers.stream()
         .skip(trackedMembers.isEmpty() ? 0 : random.nextInt(trackedMembers.size()))
         .findFirst()
-        .filter(m -> heartbeatCounter % ROUNDS_PER_RANDOM_MEMBER_INFO == 0)
+        .filter(m -> heartbeatCounter % INTERVALS_PER_RANDOM_MEMBER_INFO == 0)
         .map(Member::info)
         .filter(m -> !infos.contains(m))
         .ifPresent(infos::add);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/PeerMessage.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/PeerMessage.java
@@ -25,8 +25,7 @@
    *     group
    * @param memberInfos descriptions of some of those members
    * @param digests the latest digests of some regions
-   * @param replyRequested whether the sender is looking for members of its region and requests a
-   *     reply
+   * @param replyRequested whether the sender lacks members of its region and requests a reply
    */
   record Gossip(
       MemberInfo sender,
@@ -62,7 +61,7 @@
   /**
    * A configuration version, pushed to a daemon or sent in reply to a {@link ConfigRequest}.
    *
-   * @param version the index of the log entry that accepted it
+   * @param version the configuration version, assigned by the control group
    * @param document the YAML document
    */
   record ConfigOffer(long version, String document) implements PeerMessage {}
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/Quota.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/Quota.java
@@ -4,7 +4,7 @@
  * The limit on what the callers of an organisation may request, over all entries together.
  *
  * @param perSecond the sustained rate, in units per second
- * @param burst the number of units that may be requested at once after an idle period
+ * @param burst the maximum number of units that may be requested in one burst after an idle period
  * @param unit the unit of the limit
  * @param defaultTokens the number of tokens charged for a request that declares none
  */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/RequestLimits.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/RequestLimits.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /**
- * Limits on the size of requests and on the time that callers take to send them.
+ * Limits on the size of requests and on the time allowed for sending them.
  *
  * @param maxHeaderBytes the maximum size of a request head, in bytes
  * @param maxBodyBytes the maximum size of a request body, in bytes
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/RouteTable.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/route/RouteTable.java
@@ -104,7 +104,7 @@
     }
   }
 
-  /** Returns the version that the operator gave the document. */
+  /** Returns the version that the operator assigned to the document. */
   public long version() {
     return version;
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/CacheAwarePolicy.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/CacheAwarePolicy.java
@@ -8,13 +8,13 @@
 /**
  * Weighs an engine's load against the cost of prefilling a prompt prefix again.
  *
- * <p>The engine with the lowest score is chosen. The score is the sum of three terms. The first is
- * the estimated load, which costs little until the slots run out, because engines batch requests,
- * and much once requests queue. The second is up to 1 for the length of the prompt, unless the
- * engine is assumed to cache the prefix, either from its cache events, which arrive late and with
- * gaps, or because this gateway recently sent the prefix there. The third is {@link #RANK_PENALTY},
- * unless the engine is first in the prefix's rendezvous order; with this term, gateways without any
- * cache information choose the same engine for a prefix.
+ * <p>The engine with the lowest score is chosen. The score is the sum of three terms. The first
+ * grows with the estimated load: slowly while slots are free, because engines batch requests, and
+ * steeply once requests queue. The second is a cache-miss penalty of up to 1 that grows with the
+ * length of the prompt; it is 0 if the engine is assumed to cache the prefix, either from its cache
+ * events, which arrive late and with gaps, or because this entry recently sent the prefix there.
+ * The third is {@link #RANK_PENALTY} unless the engine is first in the prefix's rendezvous order;
+ * with this term, entries without any cache information choose the same engine for a prefix.
  */
 public final class CacheAwarePolicy implements RoutingPolicy {
   /** The policy's name in settings. */
@@ -56,10 +56,10 @@
         .map(Scored::candidate);
   }
 
-  private static double score(Candidate c, boolean firstInRank, int promptChars) {
+  private static double score(Candidate c, boolean ranksFirst, int promptChars) {
     double excessUtilisation = Math.max(0, c.utilisation() - QUEUEING_UTILISATION);
     double load = Math.pow(c.utilisation(), 3) + QUEUE_PENALTY * excessUtilisation;
     double missPenalty = c.prefixCached() ? 0 : Math.min(1, promptChars / FULL_MISS_CHARS);
-    return load + missPenalty + (firstInRank ? 0 : RANK_PENALTY);
+    return load + missPenalty + (ranksFirst ? 0 : RANK_PENALTY);
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/Candidate.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/Candidate.java
@@ -3,17 +3,17 @@
 import org.lacewingcroft.endpoint.Endpoint;
 
 /**
- * An endpoint that is eligible for a request, with its load as seen by this gateway.
+ * An endpoint that is eligible for a request, with its load as estimated by this entry.
  *
  * @param endpoint the endpoint as announced
- * @param localInFlight the number of requests that this gateway has in flight to it
+ * @param localInFlight the number of requests that this entry has in flight to it
  * @param prefixCached whether it is assumed to cache the request's prompt prefix
  */
 public record Candidate(Endpoint endpoint, int localInFlight, boolean prefixCached) {
 
   /**
    * Returns the estimated number of requests in flight: the endpoint's last report, which lags
-   * behind, or this gateway's own count, whichever is larger, so that a burst sent since the last
+   * behind, or this entry's own count, whichever is larger, so that a burst sent since the last
    * report is included.
    */
   public int estimatedLoad() {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/GatewayView.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/GatewayView.java
@@ -2,14 +2,14 @@
 
 import java.util.List;
 
-/** The state of a gateway that its routing uses in addition to the announcements of endpoints. */
+/** The state of an entry that its routing uses in addition to the announcements of endpoints. */
 public interface GatewayView {
 
-  /** Returns the number of requests that this gateway has in flight to an endpoint. */
+  /** Returns the number of requests that this entry has in flight to an endpoint. */
   int inFlightTo(String endpointId);
 
   /**
-   * Returns whether this gateway recently sent the prompt prefix to the endpoint, which therefore
+   * Returns whether this entry recently sent the prompt prefix to the endpoint, which therefore
    * probably caches it although no cache event has reported it yet.
    *
    * @param endpointId the id of the endpoint
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/RouteDecision.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/RouteDecision.java
@@ -6,7 +6,7 @@
 public sealed interface RouteDecision {
 
   /**
-   * Serve the request on a local endpoint.
+   * Serves the request on a local endpoint.
    *
    * @param candidate the chosen endpoint
    * @param rule the name of the selector that allowed it, or {@code *} without selectors
@@ -14,14 +14,14 @@
   record Serve(Candidate candidate, String rule) implements RouteDecision {}
 
   /**
-   * Forward the request to a gateway of another region, marked as forwarded.
+   * Forwards the request to an entry of another region, marked as forwarded.
    *
    * @param region the region to forward to
    */
   record Forward(String region) implements RouteDecision {}
 
   /**
-   * Refuse the request; no endpoint received it.
+   * Refuses the request; no endpoint received it.
    *
    * @param kind the error kind, which always guarantees that the request was not run
    * @param detail the reason, naming the organisation, model and regions involved
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/RouteRequest.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/RouteRequest.java
@@ -9,7 +9,7 @@
  * @param model the requested model, or the service name for plain services
  * @param priority the request priority, such as {@code normal}
  * @param residency the regions that may serve it; empty for any region
- * @param forwarded whether a gateway of another region forwarded it to this one
+ * @param forwarded whether an entry of another region forwarded it to this one
  * @param excludedEndpoints the endpoint ids and region names that failed for this request or are in
  *     backoff
  * @param promptChars the prompt's length in characters, which determines the cost of a cache miss
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/Router.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/Router.java
@@ -42,7 +42,7 @@
   /**
    * Creates a router for the given region.
    *
-   * @param localRegion the region of this gateway
+   * @param localRegion the region of this entry
    * @param policy the policy that chooses among local candidates
    */
   public Router(String localRegion, RoutingPolicy policy) {
@@ -56,7 +56,7 @@
    * @param request the request
    * @param config the active configuration
    * @param directory the endpoints that are currently announced
-   * @param view the state of this gateway and of the other regions
+   * @param view the state of this entry and of the other regions
    * @param now the current time, which decides whether leases have expired
    * @return the decision, never null
    */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/selector/Operator.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/selector/Operator.java
@@ -27,7 +27,9 @@
     return spelling;
   }
 
-  /** Returns whether the operator takes a non-empty list of values. */
+  /**
+   * Returns whether the operator requires a non-empty list of values; the others allow no values.
+   */
   public boolean takesValues() {
     return this == IN || this == NOT_IN;
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/selector/Requirement.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/selector/Requirement.java
@@ -18,8 +18,8 @@
    * Creates a requirement and validates its key and values.
    *
    * @throws GatewayException of kind {@link ErrorKind#INVALID_CONFIGURATION} if the key is missing
-   *     or empty, or if the operator takes values and there are none, or takes no values and there
-   *     are some
+   *     or empty, if the operator requires values and none are given, or if it allows none and some
+   *     are given
    */
   public Requirement {
     values = Set.copyOf(values);
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/GroupStartTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/GroupStartTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Tests how soon a leader is elected after all members start at once, as after a power failure. */
+/**
+ * Tests how soon a leader is elected after all members start at the same time, as after a power
+ * failure.
+ */
 class GroupStartTest {
   private static final int MEMBERS = 5;
   private static final long STEP_MILLIS = 5;
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/RoutingStateTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/RoutingStateTest.java
@@ -17,7 +17,7 @@
   /**
    * An evacuation order as committed to the log.
    *
-   * @param domain the failure domain; "a" unless stated otherwise
+   * @param domain the failure domain; "a" for orders created by {@link #start} and {@link #end}
    * @param active true to start the evacuation, false to end it
    * @param baseRevision the revision that the order is based on
    */
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/SplitVoteTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/SplitVoteTest.java
@@ -29,7 +29,10 @@
   /** The maximum difference between the start times of processes that are started together. */
   private static final int MAX_START_SPREAD_MILLIS = 250;
 
-  /** The sum of the start spread, half an election timeout of slots, and two rounds of votes. */
+  /**
+   * The sum of the start spread, half an election timeout for the election slots, and two rounds of
+   * votes.
+   */
   private static final long MAX_START_MILLIS = 1_100;
 
   /** The sum of the maximum election timeout and two rounds of votes. */
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/routing/RouterTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/routing/RouterTest.java
@@ -112,7 +112,7 @@
             NOW,
             "refuse:NOT_RUN"),
         Arguments.of(
-            "forwarded once is never forwarded again",
+            "forwarded request is not forwarded again",
             request("any", "writer", Set.of(), true),
             drainingOnly,
             northHasFreeSlots,
