--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Gossiper.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Gossiper.java
@@ -168,12 +168,12 @@
         .findFirst()
         .or(() -> ring.stream().findFirst())
         .ifPresent(receivers::add);
-    List<Member> rest =
+    List<Member> candidates =
         trackedMembers.stream()
             .filter(m -> isInRegion(m) || self.role().equals(m.info().role()))
             .filter(m -> !receivers.contains(m))
             .toList();
-    receivers.addAll(pick(rest, FANOUT - receivers.size()));
+    receivers.addAll(pick(candidates, FANOUT - receivers.size()));
     return receivers;
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/selector/Operator.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/selector/Operator.java
@@ -30,7 +30,7 @@
   /**
    * Returns whether the operator requires a non-empty list of values; the others allow no values.
    */
-  public boolean takesValues() {
+  public boolean requiresValues() {
     return this == IN || this == NOT_IN;
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/selector/Requirement.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/selector/Requirement.java
@@ -26,12 +26,12 @@
     if (key == null || key.isEmpty()) {
       throw new GatewayException(ErrorKind.INVALID_CONFIGURATION, "a requirement has no key");
     }
-    if (operator.takesValues() && values.isEmpty()) {
+    if (operator.requiresValues() && values.isEmpty()) {
       throw new GatewayException(
           ErrorKind.INVALID_CONFIGURATION,
           "operator " + operator.spelling() + " on key '" + key + "' needs at least one value");
     }
-    if (!operator.takesValues() && !values.isEmpty()) {
+    if (!operator.requiresValues() && !values.isEmpty()) {
       throw new GatewayException(
           ErrorKind.INVALID_CONFIGURATION,
           "operator " + operator.spelling() + " on key '" + key + "' takes no values");
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/config/ConfigParserTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/config/ConfigParserTest.java
@@ -29,7 +29,7 @@
       """;
 
   @Test
-  void readsTheDocumentedShape() {
+  void parsesTheDocumentedShape() {
     GatewayConfig config = ConfigParser.parse(VALID_DOCUMENT);
     RoutingRule rule = config.ruleFor("puhdas-seina", "writer", "normal").orElseThrow();
     assertThat(rule.regions(), is(Set.of("uusimaa")));
@@ -74,7 +74,7 @@
    * of the YAML parser.
    */
   @Test
-  void readsDocumentOfTheTargetSize() {
+  void parsesDocumentOfTheTargetSize() {
     int organisations = 48_000;
     StringBuilder document = new StringBuilder("organisations:\n");
     for (int i = 0; i < organisations; i++) {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/idempotency/IdempotencyTableTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/idempotency/IdempotencyTableTest.java
@@ -49,7 +49,7 @@
 
   @ParameterizedTest
   @MethodSource("histories")
-  void givesEachKeyToOneClaimant(List<String> steps, List<String> expected) {
+  void grantsEachKeyToOneClaimant(List<String> steps, List<String> expected) {
     IdempotencyTable table = new IdempotencyTable(Duration.ofHours(1));
     List<String> found = new ArrayList<>();
     for (String step : steps) {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/routing/RouterTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/routing/RouterTest.java
@@ -150,7 +150,7 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("rows")
-  void decides(
+  void makesExpectedDecision(
       String name,
       RouteRequest request,
       EndpointDirectory directory,
