--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/ConfigPatch.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/ConfigPatch.java
@@ -80,8 +80,7 @@
   /** Returns the YAML that the patch was parsed from. */
   public String text() {
     return text;
-  }
-
+  }  /** Returns the rules and policies that the patch adds or replaces. */
   GatewayConfig additions() {
     return additions;
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/GroupPolicy.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/GroupPolicy.java
@@ -8,7 +8,7 @@
 
 /**
  * Decides how the membership of the control group changes: the group grows to its target size while
- * there are instances to add, and a permanently lost member is replaced by a standby instance.
+ * there are instances to add, and a permanently lost member is replaced with a standby instance.
  *
  * <p>Members are changed one at a time, and a member is added before another is removed, so that
  * the number of disks that store the log never decreases while a replacement is available. An
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/LogStorage.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/LogStorage.java
@@ -28,7 +28,7 @@
   void truncateFrom(long index);
 
   /**
-   * Replaces a prefix of the log by a snapshot.
+   * Replaces a prefix of the log with a snapshot.
    *
    * @param snapshot the snapshot
    * @param tail the entries after the snapshot to keep
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ReplicatedLog.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ReplicatedLog.java
@@ -219,7 +219,7 @@
   }
 
   /**
-   * Replaces the committed prefix by a snapshot if at least {@code limit} entries follow the
+   * Replaces the committed prefix with a snapshot if at least {@code limit} entries follow the
    * current snapshot and at least one of them is committed.
    */
   void compactIfLong(int limit) {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/RegionSummary.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/RegionSummary.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /**
- * The free capacity of another region, as reported by that region's heartbeats.
+ * The free capacity of another region, as reported in that region's digests.
  *
  * @param region the region's name
  * @param freeSlotsByModel the number of free slots that its endpoints reported, by model or service
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/RouteRequest.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/RouteRequest.java
@@ -13,8 +13,7 @@
  * @param excludedEndpoints the endpoint ids and region names that failed for this request or are in
  *     backoff
  * @param promptChars the prompt's length in characters, which determines the cost of a cache miss
- * @param affinityKey a key for prefix-cache affinity, such as a hash of the prompt's prefix; empty
- *     for none
+ * @param affinityKey a key for prefix-cache affinity, such as a hash of the prompt's prefix; empty for none
  */
 public record RouteRequest(
     String organisation,
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/Router.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/Router.java
@@ -57,7 +57,7 @@
    * @param config the active configuration
    * @param directory the endpoints that are currently announced
    * @param view the state of this entry and of the other regions
-   * @param now the current time, which decides whether leases have expired
+   * @param now the current time, which determines whether leases have expired
    * @return the decision, never null
    */
   public RouteDecision route(
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/CommitRuleTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/CommitRuleTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Tests which entries a leader of term 3 commits after which acknowledgements. Its log contains one
+ * Tests up to which index a leader of term 3 commits its log after various responses of followers. Its log contains one
  * entry each of terms 1 and 2; the first entry of its own term is at index 3.
  */
 class CommitRuleTest {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ControlGroup.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ControlGroup.java
@@ -152,7 +152,7 @@
   }
 
   /**
-   * Replaces a member's disk by an empty one, as after the loss of a disk, and restarts the member.
+   * Replaces a member's disk with an empty one, as after the loss of a disk, and restarts the member.
    */
   void loseDisk(String id) {
     diskLosses++;
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/SplitVoteTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/SplitVoteTest.java
@@ -72,7 +72,7 @@
   }
 
   /**
-   * Kills all members, replaces two disks by empty ones, restarts all members within the start
+   * Kills all members, replaces two disks with empty ones, restarts all members within the start
    * spread and returns the time until there is a leader, in milliseconds.
    */
   private static long startMillis(int seed) {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/idempotency/IdempotencyTableTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/idempotency/IdempotencyTableTest.java
@@ -22,7 +22,7 @@
   private static final Claimant OTHER = new Claimant("entry-2", 1);
 
   /**
-   * Test cases: operations on one replica and the result of each claim, which is {@code free} or
+   * Returns the test cases: operations on one replica and the result of each claim, which is {@code free} or
    * the state of the existing record.
    */
   static Stream<Arguments> histories() {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/peer/FrameCodecTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/peer/FrameCodecTest.java
@@ -123,7 +123,7 @@
   }
 
   @ParameterizedTest
-  @MethodSource("badFrames")
+  @MethodSource("malformedFrames")
   void rejectsMalformedFrames(String name, byte[] body, FrameCodec codec, String expected) {
     MalformedFrameException e =
         assertThrows(MalformedFrameException.class, () -> codec.decode(body));
@@ -131,7 +131,7 @@
   }
 
   @ParameterizedTest
-  @MethodSource("oversizedLengths")
+  @MethodSource("lengthsOutOfRange")
   void rejectsLengthsOutOfRange(int length) {
     assertThrows(MalformedFrameException.class, () -> FrameCodec.checkLength(length));
   }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/route/RouteTableTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/route/RouteTableTest.java
@@ -109,7 +109,7 @@
   }
 
   @ParameterizedTest
-  @MethodSource("bad")
+  @MethodSource("invalidTables")
   void rejectsInvalidTables(InvalidTable invalid) {
     InvalidRouteTableException exception =
         assertThrows(
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/routing/RouterTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/routing/RouterTest.java
@@ -77,14 +77,14 @@
             NOW,
             "serve:u1"),
         Arguments.of(
-            "draining endpoint gets no requests, forwarded",
+            "draining endpoint receives no requests, request is forwarded",
             request("any", "writer", Set.of(), false),
             drainingOnly,
             northHasFreeSlots,
             NOW,
             "forward:pohjois-pohjanmaa"),
         Arguments.of(
-            "endpoint with expired lease gets no requests",
+            "endpoint with expired lease receives no requests",
             request("any", "writer", Set.of(), false),
             expired,
             List.of(),
