--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/ConfigPatch.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/ConfigPatch.java
@@ -80,7 +80,9 @@
   /** Returns the YAML that the patch was parsed from. */
   public String text() {
     return text;
-  }  /** Returns the rules and policies that the patch adds or replaces. */
+  }
+
+  /** Returns the rules and policies that the patch adds or replaces. */
   GatewayConfig additions() {
     return additions;
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Gossiper.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Gossiper.java
@@ -28,7 +28,9 @@
  * that lost contact merge again.
  */
 public final class Gossiper {
-  /** Maximum number of members of the daemon's own region to which it sends gossip in an interval. */
+  /**
+   * Maximum number of members of the daemon's own region to which it sends gossip in an interval.
+   */
   public static final int FANOUT = 2;
 
   /** Maximum number of members of other regions to which a delegate sends gossip in an interval. */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Member.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/Member.java
@@ -5,7 +5,9 @@
 import org.lacewingcroft.peer.MemberInfo;
 
 /**
- * A daemon as recorded by another daemon: a member of the recording daemon's region or of the control group from its heartbeats, an entry of another region from that region's digest or from its own gossip.
+ * A daemon as recorded by another daemon: a member of the recording daemon's region or of the
+ * control group from its heartbeats, an entry of another region from that region's digest or from
+ * its own gossip.
  *
  * @param info the daemon's description of itself
  * @param heartbeat its latest heartbeat
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/MemberTable.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/membership/MemberTable.java
@@ -39,7 +39,7 @@
   private final Map<String, Member> byId;
   private final Map<String, Tombstone> tombstones;
   private final Map<String, RegionDigest> digestByOriginator;
-  private final boolean unknownMembers;
+  private final boolean hasUnknownMembers;
   private final int trackedCount;
 
   /**
@@ -58,14 +58,14 @@
       Map<String, Member> byId,
       Map<String, Tombstone> tombstones,
       Map<String, RegionDigest> digestByOriginator,
-      boolean unknownMembers) {
+      boolean hasUnknownMembers) {
     this.self = self;
     this.interval = interval;
     this.byId = Collections.unmodifiableMap(new TreeMap<>(byId));
     this.trackedCount = (int) byId.values().stream().filter(m -> tracks(m.info())).count();
     this.tombstones = Map.copyOf(tombstones);
     this.digestByOriginator = Collections.unmodifiableMap(new TreeMap<>(digestByOriginator));
-    this.unknownMembers = unknownMembers;
+    this.hasUnknownMembers = hasUnknownMembers;
   }
 
   /** Returns the table updated by a gossip message. */
@@ -79,9 +79,9 @@
     heartbeats.values().forEach(heartbeat -> applyHeartbeat(heartbeat, members, now));
     gossip.digests().forEach(d -> applyDigest(d, digests, members, now));
     recordRemoteSender(gossip.sender(), heartbeats, members, now);
-    boolean unknownMembers =
+    boolean hasUnknownMembers =
         heartbeats.values().stream().anyMatch(heartbeat -> isUnknown(heartbeat, members));
-    return new MemberTable(self, interval, members, tombstones, digests, unknownMembers);
+    return new MemberTable(self, interval, members, tombstones, digests, hasUnknownMembers);
   }
 
   private boolean isUnknown(Heartbeat heartbeat, Map<String, Member> members) {
@@ -96,7 +96,7 @@
    * Returns whether the last gossip message had a heartbeat of a member that is not in the table.
    */
   public boolean hasUnknownMembers() {
-    return unknownMembers;
+    return hasUnknownMembers;
   }
 
   /** Returns whether this daemon tracks the heartbeats of a member itself. */
@@ -189,7 +189,8 @@
     Map<String, Member> members = new HashMap<>();
     byId.forEach(
         (id, m) -> members.put(id, new Member(m.info(), m.heartbeat(), now, m.freeSlotsByModel())));
-    return new MemberTable(self, interval, members, tombstones, digestByOriginator, unknownMembers);
+    return new MemberTable(
+        self, interval, members, tombstones, digestByOriginator, hasUnknownMembers);
   }
 
   /** Returns the table without the members whose removal timeout has expired. */
@@ -208,7 +209,7 @@
     return unchanged
         ? this
         : new MemberTable(
-            self, interval, members, newTombstones, digestByOriginator, unknownMembers);
+            self, interval, members, newTombstones, digestByOriginator, hasUnknownMembers);
   }
 
   /**
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/PeerMessage.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/PeerMessage.java
@@ -25,7 +25,7 @@
    *     group
    * @param memberInfos descriptions of some of those members
    * @param digests the latest digests of some regions
-   * @param replyRequested whether the sender lacks members of its region and requests a reply
+   * @param replyRequested whether the sender requests a reply with members of its region
    */
   record Gossip(
       MemberInfo sender,
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/Router.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/Router.java
@@ -132,7 +132,7 @@
     return view.otherRegions().stream()
         .filter(r -> !r.region().equals(localRegion))
         .filter(r -> isAllowed(r.region(), residency, rule))
-        .filter(r -> !request.excludedEndpoints().contains(r.region()))
+        .filter(r -> !request.excludedTargets().contains(r.region()))
         .filter(r -> r.freeSlots(request.model()) > 0)
         .max(
             Comparator.comparingInt((RegionSummary r) -> r.freeSlots(request.model()))
@@ -184,7 +184,7 @@
     for (Endpoint e : serving) {
       if (e.region().equals(localRegion)
           && e.acceptsRequests(now)
-          && !request.excludedEndpoints().contains(e.id())
+          && !request.excludedTargets().contains(e.id())
           && selector.matches(e.labels())) {
         candidates.add(
             new Candidate(e, view.inFlightTo(e.id()), isPrefixCached(e, prefixHash, view)));
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/CommitRuleTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/CommitRuleTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Tests up to which index a leader of term 3 commits its log after various responses of followers. Its log contains one
- * entry each of terms 1 and 2; the first entry of its own term is at index 3.
+ * Tests up to which index a leader of term 3 commits its log after various responses of followers.
+ * Its log contains one entry each of terms 1 and 2; the first entry of its own term is at index 3.
  */
 class CommitRuleTest {
   private static final String LEADER = "control-1";
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ControlGroup.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/ControlGroup.java
@@ -152,7 +152,8 @@
   }
 
   /**
-   * Replaces a member's disk with an empty one, as after the loss of a disk, and restarts the member.
+   * Replaces a member's disk with an empty one, as after the loss of a disk, and restarts the
+   * member.
    */
   void loseDisk(String id) {
     diskLosses++;
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/RoutingStateTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/RoutingStateTest.java
@@ -10,7 +10,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Tests which evacuations are active after a series of orders, copies of which arrive late and out of order.
+ * Tests which evacuations are active after a series of orders, copies of which arrive late and out
+ * of order.
  */
 class RoutingStateTest {
   /**
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/idempotency/IdempotencyTableTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/idempotency/IdempotencyTableTest.java
@@ -22,8 +22,8 @@
   private static final Claimant OTHER = new Claimant("entry-2", 1);
 
   /**
-   * Returns the test cases: operations on one replica and the result of each claim, which is {@code free} or
-   * the state of the existing record.
+   * Returns the test cases: operations on one replica and the result of each claim, which is {@code
+   * free} or the state of the existing record.
    */
   static Stream<Arguments> histories() {
     return Stream.of(
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/membership/GossipTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/membership/GossipTest.java
@@ -102,7 +102,7 @@
 
   @ParameterizedTest
   @CsvSource({"1, 3", "3, 2", "3, 9", "13, 26"})
-  void everyDaemonHasItsRegionAndContactsInOthers(int regions, int entriesPerRegion) {
+  void everyDaemonRecordsItsRegionAndContactsInOthers(int regions, int entriesPerRegion) {
     startRegions(regions, entriesPerRegion);
     for (int round = 0; round < 20; round++) {
       rounds(1);
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/peer/FrameCodecTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/peer/FrameCodecTest.java
@@ -105,7 +105,7 @@
     assertThat(decoded.stamp(), is("1.000001"));
   }
 
-  static Stream<Arguments> badFrames() {
+  static Stream<Arguments> malformedFrames() {
     byte[] good = CODEC.encode("1.000001", new PeerMessage.ConfigOffer(1, "x"));
     byte[] body = Arrays.copyOfRange(good, 4, good.length);
     Function<byte[], byte[]> flipLast =
@@ -136,7 +136,7 @@
     assertThrows(MalformedFrameException.class, () -> FrameCodec.checkLength(length));
   }
 
-  static Stream<Integer> oversizedLengths() {
+  static Stream<Integer> lengthsOutOfRange() {
     return Stream.of(-1, 0, 32, FrameCodec.MAX_FRAME_BYTES + 1, Integer.MAX_VALUE);
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/route/RouteTableTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/route/RouteTableTest.java
@@ -96,7 +96,7 @@
   /** A test case: an invalid list of routes and a part of the expected error message. */
   record InvalidTable(List<Route> routes, String expectedMessage) {}
 
-  static Stream<InvalidTable> bad() {
+  static Stream<InvalidTable> invalidTables() {
     ServiceShare all = new ServiceShare("s", 1);
     return Stream.of(
         new InvalidTable(
