--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/ConfigPatch.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/config/ConfigPatch.java
@@ -82,6 +82,7 @@
     return text;
   }
 
+  /** Returns the rules and policies that the patch adds or replaces. */
   GatewayConfig additions() {
     return additions;
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/Router.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/routing/Router.java
@@ -42,7 +42,7 @@
   /**
    * Creates a router for the given region.
    *
-   * @param localRegion the region of this gateway
+   * @param localRegion the region of this entry
    * @param policy the policy that chooses among local candidates
    */
   public Router(String localRegion, RoutingPolicy policy) {
@@ -56,8 +56,8 @@
    * @param request the request
    * @param config the active configuration
    * @param directory the endpoints that are currently announced
-   * @param view the state of this gateway and of the other regions
-   * @param now the current time, which decides whether leases have expired
+   * @param view the state of this entry and of the other regions
+   * @param now the current time, which determines whether leases have expired
    * @return the decision, never null
    */
   public RouteDecision route(
@@ -132,7 +132,7 @@
     return view.otherRegions().stream()
         .filter(r -> !r.region().equals(localRegion))
         .filter(r -> isAllowed(r.region(), residency, rule))
-        .filter(r -> !request.excludedEndpoints().contains(r.region()))
+        .filter(r -> !request.excludedTargets().contains(r.region()))
         .filter(r -> r.freeSlots(request.model()) > 0)
         .max(
             Comparator.comparingInt((RegionSummary r) -> r.freeSlots(request.model()))
@@ -184,7 +184,7 @@
     for (Endpoint e : serving) {
       if (e.region().equals(localRegion)
           && e.acceptsRequests(now)
-          && !request.excludedEndpoints().contains(e.id())
+          && !request.excludedTargets().contains(e.id())
           && selector.matches(e.labels())) {
         candidates.add(
             new Candidate(e, view.inFlightTo(e.id()), isPrefixCached(e, prefixHash, view)));
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/selector/Operator.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/selector/Operator.java
@@ -27,8 +27,10 @@
     return spelling;
   }
 
-  /** Returns whether the operator takes a non-empty list of values. */
-  public boolean takesValues() {
+  /**
+   * Returns whether the operator requires a non-empty list of values; the others allow no values.
+   */
+  public boolean requiresValues() {
     return this == IN || this == NOT_IN;
   }
 
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/RoutingStateTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/consensus/RoutingStateTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Tests which evacuations are active after a series of orders of which copies arrive late and out
+ * Tests which evacuations are active after a series of orders, copies of which arrive late and out
  * of order.
  */
 class RoutingStateTest {
   /**
    * An evacuation order as committed to the log.
    *
-   * @param domain the failure domain; "a" unless stated otherwise
+   * @param domain the failure domain; "a" for orders created by {@link #start} and {@link #end}
    * @param active true to start the evacuation, false to end it
    * @param baseRevision the revision that the order is based on
    */
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/idempotency/IdempotencyTableTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/idempotency/IdempotencyTableTest.java
@@ -22,8 +22,8 @@
   private static final Claimant OTHER = new Claimant("entry-2", 1);
 
   /**
-   * Test cases: operations on one replica and the result of each claim, which is {@code free} or
-   * the state of the existing record.
+   * Returns the test cases: operations on one replica and the result of each claim, which is {@code
+   * free} or the state of the existing record.
    */
   static Stream<Arguments> histories() {
     return Stream.of(
@@ -49,7 +49,7 @@
 
   @ParameterizedTest
   @MethodSource("histories")
-  void givesEachKeyToOneClaimant(List<String> steps, List<String> expected) {
+  void grantsEachKeyToOneClaimant(List<String> steps, List<String> expected) {
     IdempotencyTable table = new IdempotencyTable(Duration.ofHours(1));
     List<String> found = new ArrayList<>();
     for (String step : steps) {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/routing/RouterTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/routing/RouterTest.java
@@ -77,14 +77,14 @@
             NOW,
             "serve:u1"),
         Arguments.of(
-            "draining endpoint gets no requests, forwarded",
+            "draining endpoint receives no requests, request is forwarded",
             request("any", "writer", Set.of(), false),
             drainingOnly,
             northHasFreeSlots,
             NOW,
             "forward:pohjois-pohjanmaa"),
         Arguments.of(
-            "endpoint with expired lease gets no requests",
+            "endpoint with expired lease receives no requests",
             request("any", "writer", Set.of(), false),
             expired,
             List.of(),
@@ -112,7 +112,7 @@
             NOW,
             "refuse:NOT_RUN"),
         Arguments.of(
-            "forwarded once is never forwarded again",
+            "forwarded request is not forwarded again",
             request("any", "writer", Set.of(), true),
             drainingOnly,
             northHasFreeSlots,
@@ -150,7 +150,7 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("rows")
-  void decides(
+  void makesExpectedDecision(
       String name,
       RouteRequest request,
       EndpointDirectory directory,
