--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/ConsensusDriver.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/ConsensusDriver.java
@@ -45,8 +45,8 @@
 
   /** A call that makes a proposal to the member. */
   interface Proposal {
-    /** Makes the proposal; its decision is reported under the given ticket. */
-    Output propose(long ticket, long nowMillis);
+    /** Makes the proposal; its decision is reported under the given id. */
+    Output propose(long proposalId, long nowMillis);
   }
 
   private final ConsensusMember member;
@@ -61,7 +61,7 @@
             return t;
           });
   private final Map<Long, Promise<ChangeResult>> pendingProposals = new HashMap<>();
-  private long nextTicket;
+  private long nextProposalId;
 
   ConsensusDriver(
       ConsensusMember member,
@@ -75,7 +75,7 @@
   }
 
   /** Returns the time of the monotonic clock, in milliseconds. */
-  static long steadyMillis() {
+  static long monotonicMillis() {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
 
@@ -112,13 +112,13 @@
     boolean queued =
         enqueue(
             now -> {
-              long ticket = nextTicket++;
-              pendingProposals.put(ticket, promise);
+              long proposalId = nextProposalId++;
+              pendingProposals.put(proposalId, promise);
               executor.schedule(
-                  () -> completeProposal(ticket, new ChangeResult.Unknown()),
+                  () -> completeProposal(proposalId, new ChangeResult.Unknown()),
                   timeout.toMillis(),
                   TimeUnit.MILLISECONDS);
-              return proposal.propose(ticket, now);
+              return proposal.propose(proposalId, now);
             });
     if (!queued) {
       promise.complete(new ChangeResult.NotLeader(Optional.empty()));
@@ -130,7 +130,7 @@
     ConsensusMember.Role roleBefore = member.role();
     long termBefore = member.term();
     try {
-      Output output = action.apply(steadyMillis());
+      Output output = action.apply(monotonicMillis());
       output.messages().forEach(m -> listener.send(m.to(), m.message()));
       listener.onStep(member, output.committed());
       output.decisions().forEach(d -> completeProposal(d.proposalId(), d.result()));
@@ -163,8 +163,8 @@
     }
   }
 
-  private void completeProposal(long ticket, ChangeResult result) {
-    Promise<ChangeResult> promise = pendingProposals.remove(ticket);
+  private void completeProposal(long proposalId, ChangeResult result) {
+    Promise<ChangeResult> promise = pendingProposals.remove(proposalId);
     if (promise != null) {
       promise.tryComplete(result);
     }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/ControlService.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/ControlService.java
@@ -35,10 +35,10 @@
   private volatile Status status;
 
   /**
-   * The state of the control role as it is shown to operators.
+   * The state of the control role as reported to operators.
    *
    * @param role follower, candidate or leader
-   * @param leader the leader, if this member knows it
+   * @param leader the leader, if known
    * @param term the current term, which is also the fencing token of the leader's orders
    * @param commitIndex the last log index known to be committed
    * @param version the committed configuration version
@@ -55,8 +55,8 @@
       boolean caughtUp) {
 
     /**
-     * Returns whether a daemon that holds the given version may present it as the active one: this
-     * member knows which version is the newest committed, and the daemon has activated it.
+     * Returns whether a daemon that holds the given version may present it as the active one: the
+     * newest committed version is known, and the daemon has activated it.
      */
     public boolean isCurrent(long heldVersion) {
       return caughtUp && heldVersion >= version;
@@ -94,7 +94,7 @@
             ConsensusTiming.DEFAULT,
             log,
             new SplittableRandom(),
-            ConsensusDriver.steadyMillis());
+            ConsensusDriver.monotonicMillis());
     this.driver = new ConsensusDriver(member, log, new DriverListener(), onDiskFailure);
     applyCommitted(List.of());
     LOG.log(
@@ -141,7 +141,7 @@
   public Future<ChangeResult> propose(
       Command.Change change, long expectedVersion, Duration timeout) {
     return driver.propose(
-        (ticket, now) -> member.propose(ticket, change, expectedVersion, now), timeout);
+        (proposalId, now) -> member.propose(proposalId, change, expectedVersion, now), timeout);
   }
 
   private final class DriverListener implements ConsensusDriver.Listener {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/DurableLog.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/DurableLog.java
@@ -215,8 +215,8 @@
       }
       sync.force(channel);
       entries.addAll(newEntries);
-    } catch (IOException entry) {
-      throw new UncheckedIOException("appending to the configuration log failed", entry);
+    } catch (IOException e) {
+      throw new UncheckedIOException("appending to the configuration log failed", e);
     }
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/RoutingControl.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/control/RoutingControl.java
@@ -112,7 +112,7 @@
             ConsensusTiming.DEFAULT,
             log,
             new SplittableRandom(),
-            ConsensusDriver.steadyMillis());
+            ConsensusDriver.monotonicMillis());
     view = viewOf(member);
     LOG.log(
         System.Logger.Level.INFO,
@@ -152,7 +152,7 @@
   private static View viewOf(ConsensusMember member) {
     return new View(
         member.state().routing(),
-        member.inMajority(ConsensusDriver.steadyMillis()),
+        member.inMajority(ConsensusDriver.monotonicMillis()),
         member.leader(),
         member.group(),
         member.term());
@@ -220,7 +220,7 @@
 
   /** Submits a command; see {@link ConsensusMember#submit}. */
   public Future<ChangeResult> submit(Command command, Duration timeout) {
-    return driver.propose((ticket, now) -> member.submit(ticket, command, now), timeout);
+    return driver.propose((proposalId, now) -> member.submit(proposalId, command, now), timeout);
   }
 
   @Override
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/ConfigApi.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/ConfigApi.java
@@ -62,7 +62,7 @@
   /**
    * Mounts the route that returns the active configuration.
    *
-   * @param configKnown whether this daemon knows which version is active; until then reads are
+   * @param configKnown whether the active version is known on this daemon; until then reads are
    *     refused
    */
   void mountRead(Router router, BooleanSupplier configKnown) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/metrics/GatewayMetrics.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/metrics/GatewayMetrics.java
@@ -49,7 +49,7 @@
   public final Gauge endpoints =
       Gauge.builder().name("lwc_endpoints").help("Endpoints known").register(registry);
 
-  /** ChangeRequest contents that are quarantined because they crashed endpoints. */
+  /** The number of request contents that are quarantined because they crashed endpoints. */
   public final Gauge quarantinedContents =
       Gauge.builder()
           .name("lwc_quarantined_contents")
@@ -85,7 +85,7 @@
           .help("Seconds from request to the first answer byte relayed")
           .register(registry);
 
-  /** Seconds from the receipt of a request to its end, by outcome. */
+  /** Seconds from the receipt of a request until it is finished, by outcome. */
   public final Histogram requestSeconds =
       Histogram.builder()
           .name("lwc_request_seconds")
@@ -101,7 +101,7 @@
           .labelNames("where")
           .register(registry);
 
-  /** Attempts that received no response, by what the target did. */
+  /** Failed attempts by kind of failure: unreachable, refused, broken or withdrawn. */
   public final Counter failedAttempts =
       Counter.builder()
           .name("lwc_tries_failed_total")
@@ -127,7 +127,7 @@
           .labelNames("order", "confirmed")
           .register(registry);
 
-  /** Seconds from an operator order until it is confirmed or given up. */
+  /** Seconds from an operator order or read until it is confirmed or fails. */
   public final Histogram orderSeconds =
       Histogram.builder()
           .name("lwc_order_seconds")
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/LinkFaults.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/LinkFaults.java
@@ -6,7 +6,7 @@
 
 /**
  * Faults that experiments inject on the links from this daemon to other regions: a partition from
- * given regions, and a one-way delay to all others.
+ * given regions, and a one-way delay on links to all other regions.
  *
  * @param localRegion this daemon's region; links inside it are not affected
  * @param cutRegions the regions that this daemon cannot reach
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/Membership.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/Membership.java
@@ -14,8 +14,9 @@
 import org.lacewingcroft.membership.MemberTable;
 
 /**
- * The membership of one daemon: sends gossip in every interval as its {@link Gossiper} decides, and
- * records received gossip in an immutable {@link MemberTable} behind an {@link AtomicReference}.
+ * The membership of one daemon: sends the messages that its {@link Gossiper} selects in every
+ * gossip interval, and records received gossip in an immutable {@link MemberTable} behind an {@link
+ * AtomicReference}.
  */
 public final class Membership {
   private static final System.Logger LOG = System.getLogger(Membership.class.getName());
@@ -80,8 +81,8 @@
 
   /**
    * Returns whether this daemon has exchanged gossip without interruption for long enough to know
-   * the members of its region. Until then it must not assume that it alone is responsible for
-   * anything.
+   * the members of its region. Until then it must not act as if the members in its table were all,
+   * for example by admitting keys that another entry owns.
    */
   public boolean converged() {
     return !isStalled()
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/control/StatusTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/control/StatusTest.java
@@ -9,7 +9,7 @@
 import org.lacewingcroft.consensus.ConsensusMember;
 
 class StatusTest {
-  /** A member that has caught up but has not yet activated the version must not show version 0. */
+  /** A member that has caught up but not activated the version must not report version 0. */
   @ParameterizedTest
   @CsvSource({
     "false, 0, 0, false",
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/ConfigPatchApiTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/ConfigPatchApiTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Checks that a patch reaches the entries and does not change what it does not name. */
+/** Checks that a patch becomes active at the entries and changes only the items that it names. */
 class ConfigPatchApiTest {
   @Test
   void patchesBecomeActiveAtEntries(@TempDir Path dir) throws Exception {
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/CrashingContentTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/daemon/CrashingContentTest.java
@@ -135,7 +135,7 @@
   /** Closed connections alone do not count as crashes of the endpoint, however often they occur. */
   @ParameterizedTest
   @EnumSource(RequestType.class)
-  void contentWhoseConnectionsCloseIsServedAfterwards(RequestType type) throws Exception {
+  void closedConnectionsDoNotQuarantineContent(RequestType type) throws Exception {
     String model = "open-" + type;
     List<FakeEndpoint> endpoints = announceAll(model, Behaviour.CLOSES_CONNECTION_ON_POISON);
     TestCluster.await(() -> chat(entries.get(1), model, "innocent", type, 0).status() == 200);
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/peer/MembershipTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/peer/MembershipTest.java
@@ -64,8 +64,8 @@
   }
 
   private static void receiveGossip(Membership membership, long counter) {
-    List<Heartbeat> liveness = List.of(new Heartbeat("entry-2", 1, counter, false));
+    List<Heartbeat> heartbeats = List.of(new Heartbeat("entry-2", 1, counter, false));
     membership.onGossip(
-        new PeerMessage.Gossip(info("entry-2"), 1, liveness, List.of(), List.of(), false), 1);
+        new PeerMessage.Gossip(info("entry-2"), 1, heartbeats, List.of(), List.of(), false), 1);
   }
 }
