--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/AggregatedUpdateChannel.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/AggregatedUpdateChannel.java
@@ -97,7 +97,7 @@
     return true;
   }
 
-  /** Quota usage is sent with the next load report. */
+  /** Buffers the quota usage, which is sent with the next load report. */
   @Override
   public void sendQuotaUsage(Map<String, Long> usage) {
     usage.forEach((name, used) -> quotaUsage.merge(name, used, Long::sum));
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
@@ -62,10 +62,13 @@
   /** Time without a hello message after which a control instance is not listed to others. */
   private static final Duration CONTROL_TIMEOUT = Duration.ofSeconds(10);
 
-  /** Number of announcements that may be missed before an endpoint is marked as lost. */
+  /**
+   * Length of an endpoint's lease, in announcement intervals: an endpoint is marked as lost after
+   * it has missed this number of announcements.
+   */
   private static final int LEASE_HEARTBEATS = 4;
 
-  /** Delay before a data folder that failed is opened again. */
+  /** Delay before the data folder is reopened after a failure. */
   private static final long REOPEN_DELAY_MILLIS = 1_000;
 
   /** Minimum interval between two complete rosters sent to one entry. */
@@ -381,7 +384,8 @@
     Instant now = clock.instant();
     tracked.onReport(report, now);
     String peer = report.entry().peerAddress();
-    // Sent before the heartbeat reply, on which an entry that has just started becomes ready.
+    // Sent before the heartbeat reply: an entry that has just started may become ready when it
+    // receives the reply, and must have the quarantined contents by then.
     suspicions.compare(report);
     transport.send(peer, controlPulse(report.reportId()));
     if (report.wantsUpdates()) {
@@ -405,10 +409,10 @@
               List.copyOf(roster.records(now))));
     }
     List<EntryInfo> ready = readyEntries();
-    boolean entryKnowsNone = report.entriesDigest() == EntryNode.entriesDigest(List.of());
+    boolean entryListEmpty = report.entriesDigest() == EntryNode.entriesDigest(List.of());
     boolean listComplete =
         discoveryComplete && tracked.reportingSince.plus(ENTRY_DISCOVERY_TIME).isBefore(now);
-    if ((listComplete || entryKnowsNone)
+    if ((listComplete || entryListEmpty)
         && report.entriesDigest() != EntryNode.entriesDigest(ready)) {
       transport.send(peer, new FleetMessage.EntryList(settings.peerAddress(), ready));
     }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/DepartureReplicator.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/DepartureReplicator.java
@@ -22,7 +22,7 @@
   /**
    * Time allowed for the majority to confirm; an endpoint tries another instance after a second.
    */
-  private static final Duration TIMEOUT = Duration.ofMillis(750);
+  private static final Duration CONFIRMATION_TIMEOUT = Duration.ofMillis(750);
 
   private final Vertx vertx;
   private final String self;
@@ -51,7 +51,7 @@
   /**
    * Sends a record to the members.
    *
-   * @return whether a majority of them confirmed it within the timeout
+   * @return whether a majority of them has recorded it within {@link #CONFIRMATION_TIMEOUT}
    */
   Future<Boolean> replicate(EndpointRecord record, Set<String> members) {
     String key = record.id() + '/' + record.startedAtMillis() + '/' + record.state();
@@ -66,7 +66,7 @@
     pending.put(callId, departure);
     FleetMessage update = new FleetMessage.RosterUpdate(self, callId, false, List.of(record));
     List.copyOf(others).forEach(o -> transport.send(o, update));
-    vertx.setTimer(TIMEOUT.toMillis(), id -> onTimeout(callId));
+    vertx.setTimer(CONFIRMATION_TIMEOUT.toMillis(), id -> onTimeout(callId));
     return departure.done.future().onSuccess(confirmed -> recordOutcome(key, confirmed));
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
@@ -102,7 +102,7 @@
   private boolean largeFleet;
   private volatile RoutingView routing = RoutingView.NONE;
   private Instant stateRequestedAt = Instant.EPOCH;
-  private boolean rosterKnown;
+  private boolean rosterComplete;
   private boolean controlReached;
   private Optional<String> currentAggregator = Optional.empty();
   private long reportCount;
@@ -219,12 +219,12 @@
   public boolean ready() {
     return !shuttingDown
         && routing.revision() > 0
-        && (rosterKnown || !endpoints.trackers().isEmpty());
+        && (rosterComplete || !endpoints.trackers().isEmpty());
   }
 
   /**
    * Returns whether this entry has just started and may not have received all endpoints yet, so
-   * that a request for which no endpoint is recorded is worth a short wait.
+   * that a request for which no endpoint is recorded should wait briefly.
    */
   public boolean discoveringEndpoints() {
     return startedAt.plus(settings.endpointHeartbeat().multipliedBy(3)).isAfter(clock.instant());
@@ -265,7 +265,7 @@
     return endpoints.trackers();
   }
 
-  /** Returns the cost of the messages to and from other instances, for metrics. */
+  /** Returns the traffic and the processing time of peer messages, for metrics. */
   public PeerTraffic traffic() {
     return transport.traffic();
   }
@@ -587,7 +587,7 @@
       transport.send(pulse.from(), new FleetMessage.StateRequest(self.peerAddress()));
     }
     if (pulse.discoveryComplete() && pulse.inMajority()) {
-      rosterKnown = true;
+      rosterComplete = true;
     }
     quarantine.compare(pulse);
   }
@@ -648,7 +648,7 @@
 
   private void onRosterUpdate(FleetMessage.RosterUpdate update) {
     endpoints.update(update, clock.instant());
-    rosterKnown |= update.complete();
+    rosterComplete |= update.complete();
   }
 
   private void onEntryList(FleetMessage.EntryList list) {
@@ -709,7 +709,7 @@
     }
   }
 
-  /** Records an endpoint's request to receive nothing from this entry for some time. */
+  /** Records an endpoint's request to receive no requests from this entry for some time. */
   public void pauseRequested(EndpointTracker tracker, Duration pause) {
     Instant now = clock.instant();
     boolean alreadyPaused = !tracker.conditions().remainingPause(now).isZero();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetBounds.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/FleetBounds.java
@@ -11,8 +11,9 @@
  * @param extraSendRatio extra sends that all entries together may make per request
  * @param extraSendSlack extra sends allowed in addition, independent of the number of requests
  * @param extraSendWindow the time window in which they are counted
- * @param warmupOvershoot tolerated factor on a cold endpoint's rate
- * @param warmupSlack requests per second tolerated in addition
+ * @param warmupOvershoot tolerated ratio of a cold endpoint's actual request rate to its configured
+ *     one
+ * @param warmupSlack requests per second to a cold endpoint tolerated in addition
  * @param revocationDelay time after which a revoked key is accepted nowhere, not even by entries
  *     that are disconnected from the control instances; empty if such entries may continue to
  *     accept keys
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LoadExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LoadExchange.java
@@ -20,8 +20,8 @@
 
 /**
  * Exchanges load reports with other entries. The entries of a region report their load at each
- * endpoint to each other, so that none fills an endpoint that another is already filling; two of
- * them report the expected waits to the other regions. Quota usage is sent along.
+ * endpoint to each other, so that several of them do not overload the same endpoint; two of them
+ * report the expected waits to the other regions. Quota usage is sent along.
  *
  * <p>Confined to the event loop thread.
  */
@@ -34,8 +34,8 @@
 
   /**
    * Number of entries, the first by name, that report to the other regions. With only one, its loss
-   * would leave the region without reports until the list of entries drops it, which is longer than
-   * its last report is used.
+   * would leave the region without reports until the list of entries drops it, which takes longer
+   * than its last report remains in use.
    */
   private static final int REGION_REPORTERS = 2;
 
@@ -51,6 +51,7 @@
   /** The endpoints at which each other entry has reported load. */
   private final Map<String, Set<String>> reportedEndpoints = new HashMap<>();
 
+  /** Whether the last report contained load, so that a report without load has to follow. */
   private boolean loadReported;
 
   LoadExchange(
@@ -199,7 +200,7 @@
 
   /**
    * Returns the endpoints without a rate limit, or all of them if each has one. An endpoint with a
-   * rate limit has at most room for callers of its own region.
+   * rate limit has at most enough capacity for callers of its own region.
    */
   private static List<EndpointTracker> preferUnlimited(List<EndpointTracker> available) {
     List<EndpointTracker> unlimited =
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/OrderRelay.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/OrderRelay.java
@@ -20,7 +20,7 @@
 /**
  * Forwards operator orders and reads from the instance that received them to the leader of the
  * control group. Orders are idempotent, so an order is sent again while its outcome is unknown. A
- * read is answered only by a leader that has just confirmed its leadership.
+ * read is executed only by a leader that has just confirmed its leadership.
  */
 public final class OrderRelay {
   private static final System.Logger LOG = System.getLogger(OrderRelay.class.getName());
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixExchange.java
@@ -121,11 +121,12 @@
    */
   void requestListings() {
     if (!settings.disabledMechanisms().contains(PlacementMechanism.PREFIX_LISTING)) {
-      trackers.get().stream().filter(this::startsListing).forEach(this::requestListing);
+      trackers.get().stream().filter(this::tryStartListing).forEach(this::requestListing);
     }
   }
 
-  private boolean startsListing(EndpointTracker tracker) {
+  /** Returns whether the endpoint's list has yet to be requested, and marks it as requested. */
+  private boolean tryStartListing(EndpointTracker tracker) {
     EndpointRecord record = tracker.record();
     return settings.inOwnRegion(record.failureDomain())
         && record.state() == EndpointState.READY
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixListing.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixListing.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.lacewingcroft.placement.PromptPart;
 
-/** Lists the prompt parts that an endpoint's KV cache holds. */
+/** Lists the prompt parts that an endpoint's KV cache contains. */
 public interface PrefixListing {
   /**
    * Requests the list from one endpoint.
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/QuarantineLog.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/QuarantineLog.java
@@ -9,7 +9,8 @@
   private QuarantineLog() {}
 
   /**
-   * Logs that the content is quarantined or cleared by the given evidence.
+   * Logs that a content is quarantined or cleared according to the given evidence; logs nothing if
+   * it is neither.
    *
    * @param suspicion the merged evidence on the content
    * @param cause the instance that sent it, or what was observed locally
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Returns how long a content remains quarantined, or empty if it may run. Now and then a
-   * quarantined content is allowed to run as a trial.
+   * Returns how long a content remains quarantined, or empty if it may run. A quarantined content
+   * may run if a trial of it is due on this entry, which is then recorded.
    */
   public Optional<Duration> remainingQuarantine(RequestFingerprint content) {
     Instant now = clock.instant();
@@ -115,7 +115,7 @@
     return ledger.quarantined(clock.instant()).size();
   }
 
-  /** Records that an endpoint has completed a response to a content. */
+  /** Records that an endpoint has completed the response to a request with this content. */
   public void completed(RequestFingerprint content) {
     Instant now = clock.instant();
     completions.record(content, now);
@@ -125,8 +125,9 @@
   }
 
   /**
-   * Records that an endpoint closed the connection on which it was running a content. This counts
-   * as evidence against the content only if the endpoint turns out to have crashed.
+   * Records that an endpoint closed the connection while it was running a request with this
+   * content. This counts as evidence against the content only if the endpoint turns out to have
+   * crashed.
    */
   public void connectionLost(EndpointTracker endpoint, RequestFingerprint content) {
     recordUnanswered(endpoint.record(), content, UnansweredRuns.Kind.BROKEN_OFF);
@@ -147,7 +148,7 @@
     return pendingProbes.get(content);
   }
 
-  /** Records that this entry stopped waiting for an endpoint's response to a content. */
+  /** Records that this entry stopped waiting for the response to a request with this content. */
   public void abandoned(EndpointRecord endpoint, RequestFingerprint content) {
     recordUnanswered(endpoint, content, UnansweredRuns.Kind.GIVEN_UP);
   }
@@ -171,7 +172,7 @@
         .forEach(this::suspect);
   }
 
-  /** Records that an endpoint that was presumed lost has recovered, as the same incarnation. */
+  /** Records that an endpoint that was presumed crashed has recovered, as the same incarnation. */
   void endpointRecovered(EndpointRecord endpoint) {
     unansweredRuns.endpointRecovered(endpoint.incarnationId());
     ledger.retractCrash(endpoint.incarnationId(), clock.instant());
@@ -187,7 +188,7 @@
   private void recordAndReport(Suspicion suspicion) {
     ledger
         .merge(suspicion, clock.instant())
-        .ifPresent(known -> QuarantineLog.logChange(known, "seen here"));
+        .ifPresent(merged -> QuarantineLog.logChange(merged, "seen here"));
     if (nextBatch.isEmpty()) {
       vertx.setTimer(BATCH_DELAY_MILLIS, id -> sendBatch());
     }
@@ -224,7 +225,7 @@
     for (Suspicion suspicion : update.suspicions()) {
       ledger
           .merge(suspicion, now)
-          .ifPresent(known -> QuarantineLog.logChange(known, update.from()));
+          .ifPresent(merged -> QuarantineLog.logChange(merged, update.from()));
       RequestFingerprint content = suspicion.content();
       if (ledger.quarantined(content, now).isPresent()
           && completions.isRecentlyCompleted(content, now)) {
@@ -244,8 +245,8 @@
   }
 
   /**
-   * Sends the quarantined contents to a control instance whose digest differs, for example because
-   * it lost them in a restart.
+   * Sends the quarantined and the cleared contents to a control instance whose digest differs, for
+   * example because it lost them in a restart.
    */
   void compare(FleetMessage.ControlPulse pulse) {
     if (pulse.quarantineDigest() == digest()) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionExchange.java
@@ -63,14 +63,21 @@
     try {
       store
           .load()
-          .forEach(s -> ledger.merge(s, now).ifPresent(k -> QuarantineLog.logChange(k, "disk")));
+          .forEach(
+              s ->
+                  ledger
+                      .merge(s, now)
+                      .ifPresent(merged -> QuarantineLog.logChange(merged, "disk")));
     } catch (IOException e) {
       LOG.log(System.Logger.Level.WARNING, "quarantine.not_loaded", e);
     }
     savedDigest = ledger.recurringDigest();
   }
 
-  /** Saves the recurring contents if they have changed, without blocking the event loop. */
+  /**
+   * Saves the recurring contents (those that have crashed several endpoints) and the cleared ones
+   * if the recurring ones have changed, without blocking the event loop.
+   */
   private void save() {
     int digest = ledger.recurringDigest();
     if (saving || digest == savedDigest) {
@@ -97,10 +104,11 @@
     for (Suspicion suspicion : update.suspicions()) {
       ledger.merge(suspicion, now).ifPresent(changed::add);
     }
-    changed.forEach(known -> QuarantineLog.logChange(known, update.from()));
+    changed.forEach(merged -> QuarantineLog.logChange(merged, update.from()));
     save();
     send(entries.get(), changed.stream().filter(SuspicionExchange::concernsEntries).toList());
-    // Suspicions from another control instance are not forwarded: it sends them to all of them.
+    // Suspicions from another control instance are not forwarded to the others: the sender has sent
+    // them to all of them.
     if (update.callId() != 0) {
       send(otherControls.get(), changed);
       transport.send(update.from(), new FleetMessage.SuspicionAck(update.callId()));
@@ -117,7 +125,7 @@
     }
   }
 
-  /** Sends an entry the quarantined contents if the digest in its report differs. */
+  /** Sends an entry the quarantined and cleared contents if the digest in its report differs. */
   void compare(FleetMessage.EntryReport report) {
     if (report.quarantineDigest() != quarantineDigest()) {
       send(
@@ -126,7 +134,10 @@
     }
   }
 
-  /** Sends another control instance the recurring contents if the digest in its message differs. */
+  /**
+   * Sends another control instance the recurring and cleared contents if the digest in its message
+   * differs.
+   */
   void compare(FleetMessage.ControlHello hello) {
     if (hello.recurringDigest() != recurringDigest()) {
       send(
@@ -140,7 +151,7 @@
     ledger.retractCrash(endpoint.incarnationId(), clock.instant());
   }
 
-  /** Removes expired evidence and saves the rest. */
+  /** Removes expired evidence and saves the recurring contents. */
   void expireAndSave() {
     ledger.expire(clock.instant());
     save();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionStore.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionStore.java
@@ -11,15 +11,15 @@
 import org.lacewingcroft.quarantine.Suspicion;
 
 /**
- * Stores recurring request contents on a control instance's disk, to retain them when all instances
- * restart at the same time.
+ * Stores recurring request contents (those that have crashed several endpoints) and cleared ones on
+ * a control instance's disk, to retain them when all instances restart at the same time.
  *
  * <p>The file has two records: the time at which it was written, in Unix milliseconds as 8 bytes,
  * and a {@link FleetMessage.SuspicionUpdate}.
  */
 final class SuspicionStore {
-  private static final String FILE = "quarantine";
-  private static final int RECORDS = 2;
+  private static final String FILE_NAME = "quarantine";
+  private static final int RECORD_COUNT = 2;
 
   private final Path file;
   private final InstantSource wallClock;
@@ -30,7 +30,7 @@
    * @param wallClock the wall clock, which advances while no process runs
    */
   SuspicionStore(Path dataDir, InstantSource wallClock) {
-    this.file = dataDir.resolve(FILE);
+    this.file = dataDir.resolve(FILE_NAME);
     this.wallClock = wallClock;
   }
 
@@ -52,7 +52,7 @@
    */
   List<Suspicion> load() throws IOException {
     List<byte[]> records = DurableFile.read(file).payloads();
-    if (records.size() < RECORDS || records.get(0).length != Long.BYTES) {
+    if (records.size() < RECORD_COUNT || records.get(0).length != Long.BYTES) {
       return List.of();
     }
     Duration elapsed = timeSince(Instant.ofEpochMilli(ByteBuffer.wrap(records.get(0)).getLong()));
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/UpdateAggregator.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/UpdateAggregator.java
@@ -13,10 +13,10 @@
 import org.lacewingcroft.fleet.FleetMessage.News;
 
 /**
- * The part of a control instance that collects the updates of a region's entries and sends each
- * entry the updates of the others, and sends the aggregators of other regions the updates that
- * concern them. It holds no state that must survive a crash: entries report their load again within
- * a second.
+ * The part of a control instance that collects the updates of a region's entries, sends them to all
+ * entries of the region, and sends the updates that concern other regions to the aggregators of
+ * those regions. It holds no state that must survive a crash: entries report their load again
+ * within a second.
  *
  * <p>Confined to the event loop thread.
  */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointRoster.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointRoster.java
@@ -25,8 +25,8 @@
  */
 public final class EndpointRoster {
   /**
-   * Announcements of the previous holder of an address, with none of the new holder in between,
-   * after which the previous holder gets the address back.
+   * Number of announcements of the previous holder of an address, with none of the new holder in
+   * between, after which the previous holder gets the address back.
    */
   private static final int RECLAIM_ANNOUNCEMENTS = 2;
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointState.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointState.java
@@ -7,7 +7,7 @@
 public enum EndpointState {
   /** Accepts requests. */
   READY,
-  /** Shuts down soon and receives no new requests. */
+  /** Is about to shut down and receives no new requests. */
   DRAINING,
   /**
    * Has not announced itself for the length of its lease, or another endpoint has taken over its
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetCodec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetCodec.java
@@ -37,7 +37,11 @@
 
   private FleetCodec() {}
 
-  /** Encodes a message. */
+  /**
+   * Encodes a message.
+   *
+   * @throws IOException if the message cannot be encoded
+   */
   public static byte[] encode(FleetMessage message) throws IOException {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
       pack(packer, message);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetMessage.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetMessage.java
@@ -39,7 +39,8 @@
       implements FleetMessage {}
 
   /**
-   * A control instance's reply to a report.
+   * A control instance's heartbeat reply to a report; also sent without a report when the routing
+   * state changes.
    *
    * @param from the control instance
    * @param region its region
@@ -90,7 +91,7 @@
    * Acknowledges a {@link RosterUpdate}.
    *
    * @param from the control instance that has applied the update
-   * @param callId the update
+   * @param callId the call id of the update
    */
   record RosterAck(String from, long callId) implements FleetMessage {}
 
@@ -154,7 +155,7 @@
   /**
    * Replies to a {@link ControlCall}.
    *
-   * @param callId the call
+   * @param callId the id of the call
    * @param committed whether the order is committed; otherwise its outcome is unknown
    * @param version for a read, the operator's version of the active document
    * @param document for a read, that document
@@ -177,7 +178,7 @@
   /**
    * Acknowledges a {@link SuspicionUpdate}.
    *
-   * @param callId the update
+   * @param callId the call id of the update
    */
   record SuspicionAck(long callId) implements FleetMessage {}
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/RelayPartners.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/RelayPartners.java
@@ -6,9 +6,9 @@
 /**
  * Selects the few entries of another region to which an entry relays its requests. With all entries
  * of a region as partners, most relays find no open connection and spend two more one-way trips
- * between regions on opening one, 110 of 180 ms at 55 ms one way; with a few partners the
- * connections stay in use. Each entry ranks a region's entries differently, so that together they
- * use all of them evenly.
+ * between regions on opening one, which at 55 ms one way is 110 ms of a total of 180 ms; with a few
+ * partners the connections stay in use. Each entry ranks a region's entries differently, so that
+ * together they use all of them evenly.
  */
 public final class RelayPartners {
   /**
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/StateLease.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/StateLease.java
@@ -7,8 +7,8 @@
 
 /**
  * A lease on the routing state that an instance holds. The instance requests the state repeatedly;
- * a reply that reports no newer state confirms its own for a limited time from when the request was
- * sent, not from when the reply arrived, since replies may be delayed.
+ * a reply that reports no newer state confirms the held state for a limited time from when the
+ * request was sent, not from when the reply arrived, since replies may be delayed.
  *
  * <p>The monotonic clock does not advance while the machine is suspended, but the wall clock does.
  * A difference between the two therefore invalidates earlier confirmations.
@@ -53,7 +53,7 @@
     this.validity = validity;
   }
 
-  /** Records that a request is sent and returns its id, which is above 0. */
+  /** Records that a request is sent and returns its id, a positive number. */
   public long startRequest(Clocks now) {
     lastRequestId++;
     openRequests.put(lastRequestId, now);
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/AggregatorSelectorTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/AggregatorSelectorTest.java
@@ -37,7 +37,7 @@
     Control neverSendsDigests = new Control("10.0.0.1:7", "north", 100, 0);
     Control stopsSendingDigests = new Control("10.0.0.1:7", "north", 100, 20);
     return Stream.of(
-        Arguments.of("none is known", List.of(), 5, Optional.empty()),
+        Arguments.of("no control instance has sent a heartbeat", List.of(), 5, Optional.empty()),
         Arguments.of(
             "an instance of the entry's region is preferred", List.of(far, near), 5, name(near)),
         Arguments.of("the first of two by address", List.of(alsoNear, near), 5, name(near)),
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/EndpointRestartTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/EndpointRestartTest.java
@@ -89,9 +89,9 @@
   void laterIncarnationWins(Row row) {
     EndpointRoster roster = new EndpointRoster();
     row.announcements().forEach(a -> roster.applyAnnouncement(a.record(), START));
-    EndpointRecord known = roster.find("a").orElseThrow();
-    assertThat(known.startedAtMillis(), equalTo(row.startedAtMillis()));
-    assertThat(known.state(), equalTo(row.state()));
+    EndpointRecord record = roster.find("a").orElseThrow();
+    assertThat(record.startedAtMillis(), equalTo(row.startedAtMillis()));
+    assertThat(record.state(), equalTo(row.state()));
   }
 
   static Stream<Integer> seeds() {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/FleetCodecTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/FleetCodecTest.java
@@ -117,7 +117,7 @@
     byte[] bytes = FleetCodec.encode(message);
     IntStream.range(0, bytes.length)
         .mapToObj(length -> Arrays.copyOf(bytes, length))
-        .forEach(cut -> assertThrows(IOException.class, () -> FleetCodec.decode(cut)));
+        .forEach(truncated -> assertThrows(IOException.class, () -> FleetCodec.decode(truncated)));
   }
 
   @ParameterizedTest
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/RelayPartnersTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/RelayPartnersTest.java
@@ -26,7 +26,7 @@
 
   @ParameterizedTest
   @CsvSource({"0, 0", "1, 1", "2, 2", "3, 3", "20, 3"})
-  void partnersAreFew(int entries, int partners) {
+  void limitsNumberOfPartners(int entries, int partners) {
     assertThat(RelayPartners.of(entries(entries), "near"), hasSize(partners));
   }
 
@@ -41,12 +41,12 @@
 
   @Test
   void partnersAreSpreadEvenly() {
-    Map<String, Integer> chosen = new HashMap<>();
+    Map<String, Integer> relayCounts = new HashMap<>();
     for (int i = 0; i < 20; i++) {
       RelayPartners.of(entries(20), "near-" + i)
-          .forEach(e -> chosen.merge(e.name(), 1, Integer::sum));
+          .forEach(e -> relayCounts.merge(e.name(), 1, Integer::sum));
     }
-    // Three each on average; chance accounts for a little more than twice that.
-    chosen.values().forEach(n -> assertThat(n, lessThanOrEqualTo(8)));
+    // The average is 3; the pseudo-random ranking accounts for a little more than twice that.
+    relayCounts.values().forEach(n -> assertThat(n, lessThanOrEqualTo(8)));
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/StateLeaseTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/StateLeaseTest.java
@@ -18,10 +18,10 @@
   /**
    * Returns clock readings some time after the start, with the wall clock adjusted by a given step.
    */
-  private static Clocks at(long steadyMillis, long stepMillis) {
+  private static Clocks at(long monotonicMillis, long stepMillis) {
     return new Clocks(
-        Instant.ofEpochMilli(steadyMillis),
-        Instant.ofEpochSecond(1_000_000).plusMillis(steadyMillis + stepMillis));
+        Instant.ofEpochMilli(monotonicMillis),
+        Instant.ofEpochSecond(1_000_000).plusMillis(monotonicMillis + stepMillis));
   }
 
   static Stream<Arguments> checks() {
