--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/AggregatedUpdateChannel.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/AggregatedUpdateChannel.java
@@ -45,7 +45,7 @@
       Optional<OptionalDouble> rateLimit) {
     private static ReportedLoad of(FleetMessage.EndpointLoad load) {
       long tokens =
-          load.pendingPrompts().stream().mapToLong(FleetMessage.UnreadPrompt::tokens).sum();
+          load.pendingPrompts().stream().mapToLong(FleetMessage.PendingPrompt::tokens).sum();
       return new ReportedLoad(
           load.endpoint(),
           load.running(),
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
@@ -98,13 +98,13 @@
   private static final class TrackedEntry {
     private EntryInfo info;
     private boolean ready;
-    private boolean wantsUpdates;
+    private boolean following;
     private Instant reportingSince;
     private Instant lastReportAt;
     private Instant completeRosterSentAt = Instant.EPOCH;
 
     private boolean isLive(Instant now) {
-      Duration timeout = wantsUpdates ? ENTRY_TIMEOUT : NON_FOLLOWING_ENTRY_TIMEOUT;
+      Duration timeout = following ? ENTRY_TIMEOUT : NON_FOLLOWING_ENTRY_TIMEOUT;
       return lastReportAt.plus(timeout).isAfter(now);
     }
 
@@ -114,7 +114,7 @@
       }
       info = report.entry();
       ready = report.ready();
-      wantsUpdates = report.wantsUpdates();
+      following = report.following();
       lastReportAt = now;
     }
   }
@@ -156,7 +156,7 @@
             transport,
             clock,
             this::otherControls,
-            () -> entryPeers(e -> e.wantsUpdates),
+            () -> entryPeers(e -> e.following),
             new SuspicionStore(settings.dataDir().orElseThrow(), InstantSource.system()));
     boolean foundingMember = settings.firstStart() && seeds.contains(settings.peerAddress());
     this.control = openControl(foundingMember ? Set.copyOf(seeds) : Set.of());
@@ -388,7 +388,7 @@
     // receives the reply, and must have the quarantined contents by then.
     suspicions.compare(report);
     transport.send(peer, controlPulse(report.reportId()));
-    if (report.wantsUpdates()) {
+    if (report.following()) {
       sendDifferences(tracked, report, now);
     }
   }
@@ -512,7 +512,7 @@
    * when it receives them.
    */
   private void pushToFollowers(List<EndpointRecord> records) {
-    transport.sendAll(entryPeers(e -> e.wantsUpdates), rosterUpdate(records));
+    transport.sendAll(entryPeers(e -> e.following), rosterUpdate(records));
   }
 
   private FleetMessage rosterUpdate(List<EndpointRecord> records) {
@@ -541,7 +541,7 @@
         state.version(),
         "evacuated",
         state.evacuatedDomains());
-    transport.sendAll(entryPeers(e -> e.wantsUpdates), controlPulse(0));
+    transport.sendAll(entryPeers(e -> e.following), controlPulse(0));
   }
 
   private void sendState(String peer) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
@@ -482,11 +482,11 @@
     return settings.bounds().revocationDelay().isEmpty() || lease.isValid(clocks());
   }
 
-  private FleetMessage entryReport(boolean wantsUpdates, long reportId) {
+  private FleetMessage entryReport(boolean following, long reportId) {
     return new FleetMessage.EntryReport(
         self,
         ready(),
-        wantsUpdates,
+        following,
         routing.revision(),
         endpoints.digest(),
         entriesDigest(entries),
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixExchange.java
@@ -80,9 +80,9 @@
     }
     tracker.recordPrefix(request.sharedParts(), kvCapacityOf(tracker));
     if (recordIfDue(tracker.record().id(), request.sharedKey())) {
-      List<FleetMessage.ReadPart> parts =
+      List<FleetMessage.PrefixPart> parts =
           request.sharedParts().stream()
-              .map(p -> new FleetMessage.ReadPart(p.id(), p.tokens()))
+              .map(p -> new FleetMessage.PrefixPart(p.id(), p.tokens()))
               .toList();
       channel.get().sendPrefixRead(new FleetMessage.PrefixRead(tracker.record().id(), parts));
     }
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/EntryListTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/EntryListTest.java
@@ -58,10 +58,10 @@
       }
     }
 
-    private void report(FleetHarness harness, boolean wantsUpdates) {
+    private void report(FleetHarness harness, boolean following) {
       FleetMessage report =
           new FleetMessage.EntryReport(
-              info, true, wantsUpdates, 0, 0, /* entriesDigest= */ 12345, 0, 0);
+              info, true, following, 0, 0, /* entriesDigest= */ 12345, 0, 0);
       transport.send(harness.controlAddress(), new PeerMessage.Fleet(report));
     }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetCodec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetCodec.java
@@ -53,7 +53,7 @@
     if (message instanceof FleetMessage.EntryReport r) {
       p.packInt(ENTRY_REPORT);
       FleetRecordCodec.packEntry(p, r.entry());
-      p.packBoolean(r.ready()).packBoolean(r.wantsUpdates()).packLong(r.revision());
+      p.packBoolean(r.ready()).packBoolean(r.following()).packLong(r.revision());
       p.packInt(r.rosterDigest()).packInt(r.entriesDigest()).packInt(r.quarantineDigest());
       p.packLong(r.reportId());
     } else if (message instanceof FleetMessage.ControlPulse c) {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetMessage.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetMessage.java
@@ -18,9 +18,8 @@
    *
    * @param entry the entry
    * @param ready whether it accepts requests
-   * @param wantsUpdates whether the entry follows this control instance, that is, receives changes
-   *     of its roster and entry list; an instance that it does not follow receives reports less
-   *     often
+   * @param following whether the entry follows this control instance, that is, receives changes of
+   *     its roster and entry list; an instance that it does not follow receives reports less often
    * @param revision the revision of its routing state
    * @param rosterDigest the digest of its roster
    * @param entriesDigest the digest of its list of entries
@@ -30,7 +29,7 @@
   record EntryReport(
       EntryInfo entry,
       boolean ready,
-      boolean wantsUpdates,
+      boolean following,
       long revision,
       int rosterDigest,
       int entriesDigest,
@@ -203,7 +202,7 @@
   record EndpointLoad(
       String endpoint,
       int running,
-      List<UnreadPrompt> pendingPrompts,
+      List<PendingPrompt> pendingPrompts,
       Optional<EndpointRateLimit.Report> rateLimit) {}
 
   /**
@@ -213,7 +212,7 @@
    * @param tokens number of tokens to prefill
    * @param ageMillis time since it was sent, in ms
    */
-  record UnreadPrompt(int priority, long tokens, long ageMillis) {}
+  record PendingPrompt(int priority, long tokens, long ageMillis) {}
 
   /**
    * An entry's report that an endpoint has prefilled a prompt prefix, which other endpoints may
@@ -222,7 +221,7 @@
    * @param endpoint the endpoint's id
    * @param parts the prefilled parts, in order
    */
-  record PrefixRead(String endpoint, List<ReadPart> parts) implements FleetMessage {}
+  record PrefixRead(String endpoint, List<PrefixPart> parts) implements FleetMessage {}
 
   /**
    * One prefilled part of a prompt.
@@ -230,7 +229,7 @@
    * @param id identifies its content
    * @param tokens its length in tokens
    */
-  record ReadPart(String id, long tokens) {}
+  record PrefixPart(String id, long tokens) {}
 
   /**
    * The load of a region, sent to the entries of other regions.
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetRecordCodec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetRecordCodec.java
@@ -13,11 +13,11 @@
 import org.lacewingcroft.fleet.FleetMessage.EndpointLoad;
 import org.lacewingcroft.fleet.FleetMessage.LoadReport;
 import org.lacewingcroft.fleet.FleetMessage.News;
+import org.lacewingcroft.fleet.FleetMessage.PendingPrompt;
+import org.lacewingcroft.fleet.FleetMessage.PrefixPart;
 import org.lacewingcroft.fleet.FleetMessage.PrefixRead;
-import org.lacewingcroft.fleet.FleetMessage.ReadPart;
 import org.lacewingcroft.fleet.FleetMessage.RegionLoad;
 import org.lacewingcroft.fleet.FleetMessage.ServiceLoad;
-import org.lacewingcroft.fleet.FleetMessage.UnreadPrompt;
 import org.lacewingcroft.limit.EndpointRateLimit;
 import org.lacewingcroft.quarantine.EndpointCrash;
 import org.lacewingcroft.quarantine.Suspicion;
@@ -150,7 +150,7 @@
 
   private static void packEndpointLoad(MessagePacker p, EndpointLoad l) throws IOException {
     p.packString(l.endpoint()).packInt(l.running());
-    packAll(p, l.pendingPrompts(), FleetRecordCodec::packUnreadPrompt);
+    packAll(p, l.pendingPrompts(), FleetRecordCodec::packPendingPrompt);
     p.packBoolean(l.rateLimit().isPresent());
     if (l.rateLimit().isPresent()) {
       packRateLimit(p, l.rateLimit().get());
@@ -176,33 +176,33 @@
     return new EndpointLoad(
         u.unpackString(),
         u.unpackInt(),
-        unpackAll(u, FleetRecordCodec::unpackUnreadPrompt),
+        unpackAll(u, FleetRecordCodec::unpackPendingPrompt),
         u.unpackBoolean() ? Optional.of(unpackRateLimit(u)) : Optional.empty());
   }
 
-  private static void packUnreadPrompt(MessagePacker p, UnreadPrompt prompt) throws IOException {
+  private static void packPendingPrompt(MessagePacker p, PendingPrompt prompt) throws IOException {
     p.packInt(prompt.priority()).packLong(prompt.tokens()).packLong(prompt.ageMillis());
   }
 
-  private static UnreadPrompt unpackUnreadPrompt(MessageUnpacker u) throws IOException {
-    return new UnreadPrompt(u.unpackInt(), u.unpackLong(), u.unpackLong());
+  private static PendingPrompt unpackPendingPrompt(MessageUnpacker u) throws IOException {
+    return new PendingPrompt(u.unpackInt(), u.unpackLong(), u.unpackLong());
   }
 
   static void packPrefixRead(MessagePacker p, PrefixRead r) throws IOException {
     p.packString(r.endpoint());
-    packAll(p, r.parts(), FleetRecordCodec::packReadPart);
+    packAll(p, r.parts(), FleetRecordCodec::packPrefixPart);
   }
 
   static PrefixRead unpackPrefixRead(MessageUnpacker u) throws IOException {
-    return new PrefixRead(u.unpackString(), unpackAll(u, FleetRecordCodec::unpackReadPart));
+    return new PrefixRead(u.unpackString(), unpackAll(u, FleetRecordCodec::unpackPrefixPart));
   }
 
-  private static void packReadPart(MessagePacker p, ReadPart part) throws IOException {
+  private static void packPrefixPart(MessagePacker p, PrefixPart part) throws IOException {
     p.packString(part.id()).packLong(part.tokens());
   }
 
-  private static ReadPart unpackReadPart(MessageUnpacker u) throws IOException {
-    return new ReadPart(u.unpackString(), u.unpackLong());
+  private static PrefixPart unpackPrefixPart(MessageUnpacker u) throws IOException {
+    return new PrefixPart(u.unpackString(), u.unpackLong());
   }
 
   static void packRegionLoad(MessagePacker p, RegionLoad l) throws IOException {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/RemoteUpdateBuffer.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/RemoteUpdateBuffer.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.Optional;
 import org.lacewingcroft.fleet.FleetMessage.News;
+import org.lacewingcroft.fleet.FleetMessage.PrefixPart;
 import org.lacewingcroft.fleet.FleetMessage.PrefixRead;
-import org.lacewingcroft.fleet.FleetMessage.ReadPart;
 import org.lacewingcroft.fleet.FleetMessage.RegionLoad;
 
 /**
@@ -26,7 +26,7 @@
   /** Interval in which a prefix is sent at most once. */
   private static final Duration PREFIX_INTERVAL = Duration.ofSeconds(5);
 
-  private final Map<List<ReadPart>, Instant> prefixSentAt = new HashMap<>();
+  private final Map<List<PrefixPart>, Instant> prefixSentAt = new HashMap<>();
   private final List<PrefixRead> prefixes = new ArrayList<>();
   private final Map<String, Long> quotaUsage = new HashMap<>();
   private Optional<RegionLoad> load = Optional.empty();
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/EndpointTracker.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/EndpointTracker.java
@@ -268,18 +268,18 @@
   }
 
   /** Returns this entry's prompts that the endpoint has not prefilled yet. */
-  public List<FleetMessage.UnreadPrompt> pendingPrompts(Instant now) {
+  public List<FleetMessage.PendingPrompt> pendingPrompts(Instant now) {
     return prefillQueue.ownPrompts().stream()
         .map(
             p ->
-                new FleetMessage.UnreadPrompt(
+                new FleetMessage.PendingPrompt(
                     p.priority(), p.tokens(), Duration.between(p.sentAt(), now).toMillis()))
         .toList();
   }
 
   /** Replaces the load that another entry last reported for this endpoint. */
   public void updatePeerLoad(
-      String entry, int peerInFlight, List<FleetMessage.UnreadPrompt> prompts, Instant now) {
+      String entry, int peerInFlight, List<FleetMessage.PendingPrompt> prompts, Instant now) {
     if (peerInFlight == 0) {
       peerLoads.remove(entry);
     } else {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/FleetCodecTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/FleetCodecTest.java
@@ -23,11 +23,11 @@
 import org.lacewingcroft.fleet.FleetMessage.EndpointLoad;
 import org.lacewingcroft.fleet.FleetMessage.LoadReport;
 import org.lacewingcroft.fleet.FleetMessage.News;
+import org.lacewingcroft.fleet.FleetMessage.PendingPrompt;
+import org.lacewingcroft.fleet.FleetMessage.PrefixPart;
 import org.lacewingcroft.fleet.FleetMessage.PrefixRead;
-import org.lacewingcroft.fleet.FleetMessage.ReadPart;
 import org.lacewingcroft.fleet.FleetMessage.RegionLoad;
 import org.lacewingcroft.fleet.FleetMessage.ServiceLoad;
-import org.lacewingcroft.fleet.FleetMessage.UnreadPrompt;
 import org.lacewingcroft.limit.EndpointRateLimit;
 import org.lacewingcroft.quarantine.EndpointCrash;
 import org.lacewingcroft.quarantine.Suspicion;
@@ -47,7 +47,7 @@
               new EndpointLoad(
                   "i-1",
                   2,
-                  List.of(new UnreadPrompt(3, 13_300, 20)),
+                  List.of(new PendingPrompt(3, 13_300, 20)),
                   Optional.of(
                       new EndpointRateLimit.Report(OptionalDouble.of(1.1), Duration.ofMillis(40)))),
               new EndpointLoad(
@@ -57,7 +57,7 @@
                   Optional.of(new EndpointRateLimit.Report(OptionalDouble.empty(), Duration.ZERO))),
               new EndpointLoad("i-3", 0, List.of(), Optional.empty())));
   private static final PrefixRead PREFIX =
-      new PrefixRead("i-1", List.of(new ReadPart("5c1e07a2", 800), new ReadPart("", 0)));
+      new PrefixRead("i-1", List.of(new PrefixPart("5c1e07a2", 800), new PrefixPart("", 0)));
   private static final RegionLoad REGION =
       new RegionLoad("north", List.of(new ServiceLoad("model", 9, new long[] {1, 250}, 8.25)));
   private static final Suspicion SUSPICION =
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/UpdateBufferTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/UpdateBufferTest.java
@@ -15,8 +15,8 @@
 import org.lacewingcroft.fleet.FleetMessage.EndpointLoad;
 import org.lacewingcroft.fleet.FleetMessage.LoadReport;
 import org.lacewingcroft.fleet.FleetMessage.News;
+import org.lacewingcroft.fleet.FleetMessage.PrefixPart;
 import org.lacewingcroft.fleet.FleetMessage.PrefixRead;
-import org.lacewingcroft.fleet.FleetMessage.ReadPart;
 import org.lacewingcroft.fleet.FleetMessage.RegionLoad;
 
 class UpdateBufferTest {
@@ -32,7 +32,7 @@
   }
 
   private static News prefixUpdate(String endpoint, String part) {
-    PrefixRead read = new PrefixRead(endpoint, List.of(new ReadPart(part, 500)));
+    PrefixRead read = new PrefixRead(endpoint, List.of(new PrefixPart(part, 500)));
     return new News(List.of(), List.of(read), List.of());
   }
 
