--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/DepartureReplicator.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/DepartureReplicator.java
@@ -51,7 +51,7 @@
   /**
    * Sends a record to the members.
    *
-   * @return whether a majority of them has recorded it within {@link #CONFIRMATION_TIMEOUT}
+   * @return whether a majority of them confirmed it within {@link #CONFIRMATION_TIMEOUT}
    */
   Future<Boolean> replicate(EndpointRecord record, Set<String> members) {
     String key = record.id() + '/' + record.startedAtMillis() + '/' + record.state();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
@@ -709,7 +709,7 @@
     }
   }
 
-  /** Records an endpoint's request to receive no requests from this entry for some time. */
+  /** Records that an endpoint requests a pause, during which this entry sends it no requests. */
   public void pauseRequested(EndpointTracker tracker, Duration pause) {
     Instant now = clock.instant();
     boolean alreadyPaused = !tracker.conditions().remainingPause(now).isZero();
