--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/AggregatedUpdateChannel.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/AggregatedUpdateChannel.java
@@ -45,7 +45,7 @@
       Optional<OptionalDouble> rateLimit) {
     private static ReportedLoad of(FleetMessage.EndpointLoad load) {
       long tokens =
-          load.pendingPrompts().stream().mapToLong(FleetMessage.UnreadPrompt::tokens).sum();
+          load.pendingPrompts().stream().mapToLong(FleetMessage.PendingPrompt::tokens).sum();
       return new ReportedLoad(
           load.endpoint(),
           load.running(),
@@ -97,7 +97,7 @@
     return true;
   }
 
-  /** Quota usage is sent with the next load report. */
+  /** Buffers the quota usage, which is sent with the next load report. */
   @Override
   public void sendQuotaUsage(Map<String, Long> usage) {
     usage.forEach((name, used) -> quotaUsage.merge(name, used, Long::sum));
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
@@ -62,10 +62,13 @@
   /** Time without a hello message after which a control instance is not listed to others. */
   private static final Duration CONTROL_TIMEOUT = Duration.ofSeconds(10);
 
-  /** Number of announcements that may be missed before an endpoint is marked as lost. */
+  /**
+   * Length of an endpoint's lease, in announcement intervals: an endpoint is marked as lost after
+   * it has missed this number of announcements.
+   */
   private static final int LEASE_HEARTBEATS = 4;
 
-  /** Delay before a data folder that failed is opened again. */
+  /** Delay before the data folder is reopened after a failure. */
   private static final long REOPEN_DELAY_MILLIS = 1_000;
 
   /** Minimum interval between two complete rosters sent to one entry. */
@@ -95,13 +98,13 @@
   private static final class TrackedEntry {
     private EntryInfo info;
     private boolean ready;
-    private boolean wantsUpdates;
+    private boolean following;
     private Instant reportingSince;
     private Instant lastReportAt;
     private Instant completeRosterSentAt = Instant.EPOCH;
 
     private boolean isLive(Instant now) {
-      Duration timeout = wantsUpdates ? ENTRY_TIMEOUT : NON_FOLLOWING_ENTRY_TIMEOUT;
+      Duration timeout = following ? ENTRY_TIMEOUT : NON_FOLLOWING_ENTRY_TIMEOUT;
       return lastReportAt.plus(timeout).isAfter(now);
     }
 
@@ -111,7 +114,7 @@
       }
       info = report.entry();
       ready = report.ready();
-      wantsUpdates = report.wantsUpdates();
+      following = report.following();
       lastReportAt = now;
     }
   }
@@ -153,7 +156,7 @@
             transport,
             clock,
             this::otherControls,
-            () -> entryPeers(e -> e.wantsUpdates),
+            () -> entryPeers(e -> e.following),
             new SuspicionStore(settings.dataDir().orElseThrow(), InstantSource.system()));
     boolean foundingMember = settings.firstStart() && seeds.contains(settings.peerAddress());
     this.control = openControl(foundingMember ? Set.copyOf(seeds) : Set.of());
@@ -381,10 +384,11 @@
     Instant now = clock.instant();
     tracked.onReport(report, now);
     String peer = report.entry().peerAddress();
-    // Sent before the heartbeat reply, on which an entry that has just started becomes ready.
+    // Sent before the heartbeat reply: an entry that has just started may become ready when it
+    // receives the reply, and must have the quarantined contents by then.
     suspicions.compare(report);
     transport.send(peer, controlPulse(report.reportId()));
-    if (report.wantsUpdates()) {
+    if (report.following()) {
       sendDifferences(tracked, report, now);
     }
   }
@@ -405,10 +409,10 @@
               List.copyOf(roster.records(now))));
     }
     List<EntryInfo> ready = readyEntries();
-    boolean entryKnowsNone = report.entriesDigest() == EntryNode.entriesDigest(List.of());
+    boolean entryListEmpty = report.entriesDigest() == EntryNode.entriesDigest(List.of());
     boolean listComplete =
         discoveryComplete && tracked.reportingSince.plus(ENTRY_DISCOVERY_TIME).isBefore(now);
-    if ((listComplete || entryKnowsNone)
+    if ((listComplete || entryListEmpty)
         && report.entriesDigest() != EntryNode.entriesDigest(ready)) {
       transport.send(peer, new FleetMessage.EntryList(settings.peerAddress(), ready));
     }
@@ -508,7 +512,7 @@
    * when it receives them.
    */
   private void pushToFollowers(List<EndpointRecord> records) {
-    transport.sendAll(entryPeers(e -> e.wantsUpdates), rosterUpdate(records));
+    transport.sendAll(entryPeers(e -> e.following), rosterUpdate(records));
   }
 
   private FleetMessage rosterUpdate(List<EndpointRecord> records) {
@@ -537,7 +541,7 @@
         state.version(),
         "evacuated",
         state.evacuatedDomains());
-    transport.sendAll(entryPeers(e -> e.wantsUpdates), controlPulse(0));
+    transport.sendAll(entryPeers(e -> e.following), controlPulse(0));
   }
 
   private void sendState(String peer) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixExchange.java
@@ -80,9 +80,9 @@
     }
     tracker.recordPrefix(request.sharedParts(), kvCapacityOf(tracker));
     if (recordIfDue(tracker.record().id(), request.sharedKey())) {
-      List<FleetMessage.ReadPart> parts =
+      List<FleetMessage.PrefixPart> parts =
           request.sharedParts().stream()
-              .map(p -> new FleetMessage.ReadPart(p.id(), p.tokens()))
+              .map(p -> new FleetMessage.PrefixPart(p.id(), p.tokens()))
               .toList();
       channel.get().sendPrefixRead(new FleetMessage.PrefixRead(tracker.record().id(), parts));
     }
@@ -121,11 +121,12 @@
    */
   void requestListings() {
     if (!settings.disabledMechanisms().contains(PlacementMechanism.PREFIX_LISTING)) {
-      trackers.get().stream().filter(this::startsListing).forEach(this::requestListing);
+      trackers.get().stream().filter(this::tryStartListing).forEach(this::requestListing);
     }
   }
 
-  private boolean startsListing(EndpointTracker tracker) {
+  /** Returns whether the endpoint's list has yet to be requested, and marks it as requested. */
+  private boolean tryStartListing(EndpointTracker tracker) {
     EndpointRecord record = tracker.record();
     return settings.inOwnRegion(record.failureDomain())
         && record.state() == EndpointState.READY
