--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LoadExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LoadExchange.java
@@ -209,7 +209,7 @@
 
   private static FleetMessage.ServiceLoad serviceLoad(
       String service, List<EndpointTracker> available, Instant now) {
-    long[] waits = new long[EndpointTracker.PRIORITIES];
+    long[] waits = new long[EndpointTracker.PRIORITY_COUNT];
     for (int p = 0; p < waits.length; p++) {
       int priority = p;
       waits[p] =
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
@@ -282,7 +282,8 @@
           .ifPresent(source -> headers.add(Map.entry(headerNames.prefixSource(), source)));
       if (request.promptTokens() > 0) {
         int priority =
-            Math.max(0, Math.min(EndpointTracker.PRIORITIES - 1, request.handling().priority()));
+            Math.max(
+                0, Math.min(EndpointTracker.PRIORITY_COUNT - 1, request.handling().priority()));
         headers.add(Map.entry(headerNames.priority(), Integer.toString(priority)));
       }
     } else {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/RequestLog.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/RequestLog.java
@@ -186,7 +186,7 @@
         "sentMillisAgo",
         target.inFlightRequest().map(r -> Duration.between(r.sentAt(), now).toMillis()).orElse(-1L),
         "running",
-        endpoint.map(e -> e.allRunning(now)).orElse(-1),
+        endpoint.map(e -> e.totalInFlight(now)).orElse(-1),
         "cold",
         endpoint.map(e -> e.isCold(now)).orElse(false));
   }
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/LargeRegionTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/LargeRegionTest.java
@@ -141,7 +141,7 @@
             entry, e -> fleet.endpoint(e).fetchableTokens(request) == request.sharedTokens());
       }
       for (FleetHarness.Entry entry : fleet.north) {
-        fleet.await(entry, e -> fleet.endpoint(e).allRunning(Instant.now()) == 1);
+        fleet.await(entry, e -> fleet.endpoint(e).totalInFlight(Instant.now()) == 1);
       }
     }
   }
@@ -175,7 +175,7 @@
       TimeUnit.MILLISECONDS.sleep(1_500);
       fleet.recordServed(fleet.north.get(0), prompt("contract"));
       for (FleetHarness.Entry entry : fleet.north) {
-        fleet.await(entry, e -> fleet.endpoint(e).allRunning(Instant.now()) == 1);
+        fleet.await(entry, e -> fleet.endpoint(e).totalInFlight(Instant.now()) == 1);
       }
     }
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/AdmissionLimiter.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/AdmissionLimiter.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Limits each organisation's requests at this entry to the rate that its policy allows, with a
- * burst of one second's worth of requests. A token bucket is created at the first request under a
+ * Limits each organisation's requests at this entry to the rate in the organisation's policy, with
+ * a burst of one second's worth of requests. A token bucket is created at the first request under a
  * limit and replaced when the limit changes; an organisation without a limit has no bucket.
  */
 public final class AdmissionLimiter {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/EndpointRateLimit.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/EndpointRateLimit.java
@@ -19,7 +19,7 @@
  * <p>Not thread-safe: confined to the entry's event loop thread.
  */
 public final class EndpointRateLimit {
-  /** Entries that send at a rate near zero; one more sends for each request per second. */
+  /** Number of senders at a rate near zero; each request per second of the rate adds one. */
   private static final int MIN_SENDERS = 2;
 
   private static final int MAX_SENDERS = 1_000;
@@ -37,8 +37,8 @@
   private static final Duration LIMIT_REMOVAL_REPORT_TTL = Duration.ofSeconds(10);
 
   /**
-   * How long a limit is valid after a response advertised it. After that, any entry may send a
-   * trial request.
+   * How long a limit is valid after a response advertised it; afterwards any entry may send a trial
+   * request.
    */
   private static final Duration LIMIT_TTL = Duration.ofSeconds(15);
 
@@ -56,10 +56,10 @@
   private Instant lastRefillAt = Instant.EPOCH;
 
   /**
-   * The limit in the responses that one entry received, as sent to the other entries.
+   * The limit advertised in the responses to one entry, as reported to the other entries.
    *
    * @param perSecond the limit in requests per second, empty if none was advertised
-   * @param age the time since the entry received it
+   * @param age the time since the entry received the last such response
    */
   public record Report(OptionalDouble perSecond, Duration age) {}
 
@@ -115,8 +115,8 @@
   }
 
   /**
-   * Returns the limit to report to the other entries; empty if this entry has not received it in a
-   * response itself, or not recently.
+   * Returns the limit, or its removal, to report to the other entries; empty if this entry has not
+   * received it in a response recently.
    */
   public Optional<Report> report(Instant now) {
     Duration ttl = perSecond.isPresent() ? LIMIT_TTL : LIMIT_REMOVAL_REPORT_TTL;
@@ -125,7 +125,7 @@
         .map(at -> new Report(perSecond, Duration.between(at, now)));
   }
 
-  /** Returns how many entries at most send to the endpoint under the advertised limit. */
+  /** Returns the maximum number of entries that send to the endpoint under the advertised limit. */
   public int maxSenders() {
     double rate = perSecond.orElse(MAX_SENDERS);
     return (int) Math.min(MAX_SENDERS, MIN_SENDERS + rate);
@@ -145,8 +145,8 @@
   }
 
   /**
-   * Returns whether a trial request is due: no response has confirmed the limit for its validity
-   * time, and this entry has not sent a request for that time either.
+   * Returns whether a trial request is due: for {@link #LIMIT_TTL}, no response has confirmed the
+   * limit and this entry has not sent a request.
    */
   private boolean isTrialDue(Instant now) {
     Instant lastActivity = confirmedAt.isAfter(lastSentAt) ? confirmedAt : lastSentAt;
@@ -157,7 +157,7 @@
    * Returns the delay until the limit allows one more request of this entry, or of the entries that
    * share the rate if this entry is not one of them.
    *
-   * @param senders as for {@link #admits}
+   * @param senders the number of entries that share the rate; 0 if this entry is not one of them
    */
   public Duration untilAdmitted(int senders, Instant now) {
     if (admits(senders, now)) {
@@ -175,8 +175,8 @@
   }
 
   /**
-   * Accumulates this entry's share of the rate. An entry that becomes a sender starts at zero,
-   * because the entry that it replaces may have just sent a request.
+   * Adds this entry's share of the rate since the last refill. An entry that becomes a sender
+   * starts at zero, because the entry that it replaces may have sent a request just before.
    */
   private void refill(int senders, Instant now) {
     double seconds = Math.max(0, Duration.between(lastRefillAt, now).toNanos() / NANOS_PER_SECOND);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/FleetQuotas.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/FleetQuotas.java
@@ -16,14 +16,14 @@
  * <p>Designed for an organisation whose callers send a few requests per second in total, each to
  * any entry. A fixed share of the quota per entry would reject requests although the organisation
  * is far below its quota. Here a request is rejected only if all entries together have used up the
- * quota. Usage that the other entries have not yet received can exceed the quota for a moment; it
- * is charged to their buckets on receipt, which reduces what is admitted afterwards.
+ * quota. Until the other entries receive an entry's usage, the total can briefly exceed the quota;
+ * the usage is charged to their buckets on receipt, which reduces what they admit afterwards.
  *
  * <p>Not thread-safe: confined to the entry's event loop thread.
  */
 public final class FleetQuotas {
   /**
-   * Without an update for this long, the other entries are assumed to continue at their last
+   * Time without an update after which the other entries are assumed to continue at their last
    * average rate.
    */
   private static final Duration PEER_UPDATE_TIMEOUT = Duration.ofSeconds(1);
@@ -35,7 +35,7 @@
   private Instant lastPeerUpdateAt;
 
   /**
-   * Creates an instance without quotas.
+   * Creates quotas without any organisation; {@link #configure} adds them.
    *
    * @param now the current time
    */
@@ -53,13 +53,15 @@
     private Instant lastRefillAt;
     private long unreportedUsage;
 
-    /** Reported usage that no applied fleet usage has included yet. */
+    /** Usage reported to the aggregator that no fleet usage received from it includes yet. */
     private long pendingReportedUsage;
 
     private double peerUsagePerSecond;
     private double peerUsageSinceRateUpdate;
 
-    /** Creates an empty bucket, because the other entries may have just used up the quota. */
+    /**
+     * Creates an empty bucket, because the other entries may have used up the quota just before.
+     */
     private Account(Quota quota, Instant now) {
       this.quota = quota;
       lastRefillAt = now;
@@ -80,8 +82,8 @@
   }
 
   /**
-   * Applies the active quotas. Usage is tracked from now on, whether or not this entry's own
-   * callers send requests.
+   * Applies the active quotas. The usage of each organisation is tracked from then on, even if its
+   * callers send no requests to this entry.
    */
   public void configure(Collection<Organisation> organisations, Instant now) {
     Map<String, Quota> quotas = new HashMap<>();
@@ -134,7 +136,10 @@
     account.refill(peersUnresponsive ? account.peerUsagePerSecond : 0, now);
   }
 
-  /** Returns the usage of this entry's callers since the last call, by organisation. */
+  /**
+   * Returns the usage of this entry's callers since the last call, by organisation, and counts it
+   * as reported.
+   */
   public Map<String, Long> drainUnreportedUsage() {
     Map<String, Long> usage = new HashMap<>();
     accounts.forEach(
@@ -168,7 +173,7 @@
   }
 
   /**
-   * Applies the usage that other entries report.
+   * Applies the usage that the other entries report.
    *
    * @param peerUsage the usage since the last update, by organisation
    */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/RetryBudget.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/RetryBudget.java
@@ -3,8 +3,8 @@
 import java.time.Instant;
 
 /**
- * Limits how many requests are sent again (retries and hedges) to a fraction of the requests, so
- * that retries cannot multiply the load on endpoints that fail because they are overloaded.
+ * Limits retries (including hedges) to a fraction of the requests, so that retries cannot multiply
+ * the load on endpoints that fail because they are overloaded.
  */
 public final class RetryBudget {
   private final double retriesPerRequest;
@@ -13,8 +13,9 @@
   /**
    * Creates a budget.
    *
-   * @param retriesPerRequest the retries that each request deposits, such as 0.1
-   * @param reserve the retries allowed before any deposit, and the most that accumulate
+   * @param retriesPerRequest the number of retries that each request deposits, such as 0.1
+   * @param reserve the number of retries available before any deposit, also the maximum that
+   *     accumulates
    * @param now the current time
    */
   public RetryBudget(double retriesPerRequest, int reserve, Instant now) {
@@ -22,7 +23,7 @@
     this.bucket = new TokenBucket(0, reserve, now);
   }
 
-  /** Deposits the retries for a request that is sent for the first time. */
+  /** Deposits a request's share of a retry; called when a request is sent for the first time. */
   public void deposit(Instant now) {
     bucket.add(retriesPerRequest, now);
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/TokenBucket.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/TokenBucket.java
@@ -19,7 +19,7 @@
    * Creates a full bucket.
    *
    * @param tokensPerSecond the refill rate; 0 for a bucket filled by {@link #add} only
-   * @param burstTokens the burst size, the most tokens that the bucket holds
+   * @param burstTokens the burst size, which is the capacity of the bucket
    * @param now the current time
    */
   public TokenBucket(double tokensPerSecond, double burstTokens, Instant now) {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/AdvertisedConditions.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/AdvertisedConditions.java
@@ -45,7 +45,7 @@
     pausedUntil = until.isAfter(pausedUntil) ? until : pausedUntil;
   }
 
-  /** Returns the time left of the requested pause; zero if there is none. */
+  /** Returns the remaining time of the requested pause; zero if there is none. */
   public Duration remainingPause(Instant now) {
     return pausedUntil.isAfter(now) ? Duration.between(now, pausedUntil) : Duration.ZERO;
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/EndpointTracker.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/EndpointTracker.java
@@ -23,7 +23,7 @@
  */
 public final class EndpointTracker {
   /** Number of request priorities; the model engines' platform distinguishes ten. */
-  public static final int PRIORITIES = 10;
+  public static final int PRIORITY_COUNT = 10;
 
   /** Prefill speed assumed before the first measurement: a large model on a recent accelerator. */
   private static final double INITIAL_PREFILL_TOKENS_PER_MILLI = 80;
@@ -45,9 +45,9 @@
   private static final double SAMPLE_WEIGHT = 0.1;
 
   /**
-   * Time without a byte after which an endpoint with requests in flight gets no new requests while
-   * another endpoint is available: engines send a byte of some stream many times a second, and
-   * callers time out after two seconds.
+   * Time without a byte after which no new requests are sent to an endpoint with requests in flight
+   * while another endpoint is available: engines send data of some stream many times per second,
+   * and callers time out after two seconds.
    */
   private static final Duration UNRESPONSIVE_TIMEOUT = Duration.ofMillis(800);
 
@@ -89,12 +89,12 @@
   private final AdvertisedConditions conditions;
 
   /**
-   * Prefill speed by priority, in tokens a millisecond. It is measured separately for each
+   * Prefill speed by priority, in tokens per millisecond. It is measured separately for each
    * priority, because the engine processes more urgent requests first even if they arrive later:
    * the speed left for less urgent requests drops as the load rises, and a wait estimated from the
    * engine's full speed would be far too short.
    */
-  private final double[] prefillTokensPerMilli = new double[PRIORITIES];
+  private final double[] prefillTokensPerMilli = new double[PRIORITY_COUNT];
 
   private double serviceTimeMillis = INITIAL_SERVICE_TIME_MILLIS;
   private double failureScore;
@@ -172,7 +172,7 @@
       }
     }
 
-    /** Ends the request; further calls have no effect. */
+    /** Records the end of the request; further calls have no effect. */
     public void finish(Outcome outcome, Instant now) {
       if (finished) {
         return;
@@ -209,12 +209,12 @@
     CANCELLED
   }
 
-  /** Starts tracking an endpoint. */
+  /** Creates a tracker of an endpoint without advertised conditions. */
   public EndpointTracker(EndpointRecord record, Instant now) {
     this(record, new AdvertisedConditions(), now);
   }
 
-  /** Starts tracking an endpoint whose incarnation may already have advertised conditions. */
+  /** Creates a tracker of an endpoint whose incarnation may already have advertised conditions. */
   EndpointTracker(EndpointRecord record, AdvertisedConditions conditions, Instant now) {
     this.conditions = conditions;
     Arrays.fill(prefillTokensPerMilli, INITIAL_PREFILL_TOKENS_PER_MILLI);
@@ -333,8 +333,9 @@
   }
 
   /**
-   * Records that a request ended while the endpoint was unresponsive. Without this the endpoint
-   * would look idle once the last such request has ended, and would get all new requests again.
+   * Records that a request ended while the endpoint was unresponsive. Without this record, the
+   * endpoint would appear idle once the last such request has ended, and all new requests would be
+   * sent to it again.
    */
   private void recordUnresponsivePeriod(Instant now) {
     unresponsivePeriods++;
@@ -348,13 +349,13 @@
 
   /**
    * Returns whether the endpoint has sent no byte since it was last unresponsive: connections
-   * opened before may be dead, and a request written to one of them may or may not run.
+   * opened earlier may be dead, and it is unknown whether a request written to one of them runs.
    */
   public boolean isUnconfirmed() {
     return unresponsivePeriods > 0;
   }
 
-  /** Records that another incarnation answers at the endpoint's address. */
+  /** Records that another incarnation responds at the endpoint's address. */
   public void markReplaced() {
     replaced = true;
   }
@@ -377,12 +378,14 @@
     return failureScore * Math.pow(0.5, Math.min(100, millis / FAILURE_HALF_LIFE_MILLIS));
   }
 
-  /** Returns a score of the recent failures; the weight of each decreases with its age. */
+  /**
+   * Returns the number of failures, each with a weight that decreases exponentially with its age.
+   */
   public double recentFailures(Instant now) {
     return failureScore(now);
   }
 
-  /** Returns whether the endpoint may get new requests at all. */
+  /** Returns whether the endpoint is in service and not in a pause that it requested. */
   public boolean acceptsRequests(Instant now) {
     return isInService(now) && conditions.remainingPause(now).isZero();
   }
@@ -444,9 +447,9 @@
    * Returns whether other endpoints may fetch KV cache from this one. After a crash, lost
    * connections show the failure long before the record does. A prefix that cannot be fetched is
    * prefilled in full, which the wait estimates do not include: when one of four engines crashes,
-   * three prompts of 13,000 to 29,000 tokens sent to a single other engine can take 68,000 tokens
-   * of prefill instead of an estimated 17,000, which delays the first bytes of the requests behind
-   * them from 0.6 s to 2.5 s.
+   * three prompts of 13,000 to 29,000 tokens sent to a single other engine can require 68,000
+   * tokens of prefill instead of an estimated 17,000, which delays the first bytes of the requests
+   * behind them from 0.6 s to 2.5 s.
    */
   public boolean isPrefixSource(Instant now) {
     return acceptsRequests(now) && !isSuspect(now) && failureScore(now) < MAX_SOURCE_FAILURE_SCORE;
@@ -468,7 +471,7 @@
         && lastByteAt.isBefore(cutoff);
   }
 
-  /** Returns whether the endpoint rejected a request a moment ago because it was full. */
+  /** Returns whether the endpoint recently rejected a request because it was full. */
   public boolean isFull(Instant now) {
     return fullUntil.isAfter(now);
   }
@@ -488,9 +491,9 @@
   }
 
   /**
-   * Returns how many leading tokens of the prompt the endpoint is known to have prefilled, so that
-   * another endpoint can fetch them. Prompts that it was sent a moment ago and may still be
-   * prefilling do not count.
+   * Returns how many leading tokens of the prompt the endpoint has prefilled, as shown by
+   * responses, so that another endpoint can fetch them. Prompts that have been sent to it but may
+   * not be prefilled yet do not count.
    */
   public long fetchableTokens(PlacementRequest request) {
     return confirmedPrefixes.cachedTokensOf(request.sharedParts());
@@ -500,8 +503,8 @@
     return prefillQueue.tokensAhead(priority, prefillTokensPerMilli(priority), now);
   }
 
-  /** Returns the number of all entries' requests in flight at the endpoint. */
-  public int allRunning(Instant now) {
+  /** Returns the number of requests in flight at the endpoint, of all entries of the region. */
+  public int totalInFlight(Instant now) {
     int total = inFlight;
     for (PeerLoad peer : peerLoads.values()) {
       if (peer.receivedAt.plus(PrefillQueue.PEER_REPORT_TTL).isAfter(now)) {
@@ -514,7 +517,7 @@
   /** Returns the estimated time until a request of this priority starts to be processed, in ms. */
   public double waitMillis(int priority, Instant now) {
     int slots = Math.max(1, record.slots());
-    int excess = allRunning(now) + 1 - slots;
+    int excess = totalInFlight(now) + 1 - slots;
     double slotWait = excess > 0 ? serviceTimeMillis * excess / slots : 0;
     return tokensAhead(priority, now) / prefillTokensPerMilli(priority) + slotWait;
   }
@@ -534,12 +537,12 @@
     return tokens / prefillTokensPerMilli(request.priority());
   }
 
-  /** Returns the prefill speed measured for a priority, in prompt tokens a millisecond. */
+  /** Returns the prefill speed measured for a priority, in prompt tokens per millisecond. */
   public double prefillTokensPerMilli(int priority) {
     return prefillTokensPerMilli[clampPriority(priority)];
   }
 
   private static int clampPriority(int priority) {
-    return Math.max(0, Math.min(PRIORITIES - 1, priority));
+    return Math.max(0, Math.min(PRIORITY_COUNT - 1, priority));
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/ExtraSendBudget.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/ExtraSendBudget.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 
 /**
- * Limits extra sends (any send of a request after the first: retry, hedge or relay), by service
- * over a sliding window. All entries share one budget: each entry takes its part of the fixed slack
- * and the ratio of its own requests, but uses only {@link #USED_SHARE} of both, so that the limit
- * also holds while entries disagree on how many they are.
+ * Limits extra sends (any send of a request after the first: retry, hedge or relay) of each service
+ * over a sliding window. All entries share one budget: each entry may use its part of the fixed
+ * slack and the ratio of its own requests, but uses only {@link #USED_SHARE} of both, so that the
+ * limit also holds while entries disagree on the number of entries.
  *
  * <p>Not thread-safe: confined to the entry's event loop thread.
  */
@@ -21,8 +21,8 @@
   private final double ratio;
   private final double slack;
   private final Duration window;
-  private final Map<String, Deque<Instant>> requests = new HashMap<>();
-  private final Map<String, Deque<Instant>> extras = new HashMap<>();
+  private final Map<String, Deque<Instant>> firstSends = new HashMap<>();
+  private final Map<String, Deque<Instant>> extraSends = new HashMap<>();
 
   /**
    * Creates a budget.
@@ -39,19 +39,20 @@
 
   /** Counts a request's first send. */
   public void recordFirstSend(String service, Instant now) {
-    recent(requests, service, now).addLast(now);
+    recent(firstSends, service, now).addLast(now);
   }
 
   /**
-   * Takes one extra send from the budget.
+   * Takes one extra send from the budget. An entry may always take one per service and window.
    *
    * @param entries the number of entries that share the budget
    * @return whether the request may be sent again
    */
   public boolean tryTake(String service, int entries, Instant now) {
-    Deque<Instant> taken = recent(extras, service, now);
+    Deque<Instant> taken = recent(extraSends, service, now);
     double allowed =
-        USED_SHARE * (ratio * recent(requests, service, now).size() + slack / Math.max(1, entries));
+        USED_SHARE
+            * (ratio * recent(firstSends, service, now).size() + slack / Math.max(1, entries));
     if (taken.size() + 1 > Math.max(1, allowed)) {
       return false;
     }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/KeepAlivePolicy.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/KeepAlivePolicy.java
@@ -11,10 +11,10 @@
  *
  * <p>A request written to a connection that the endpoint has closed is reset, and it is unknown
  * whether it ran: a request that may run only once cannot be retried and is lost. Endpoints
- * advertise how long they keep idle connections, but some close them earlier and without notice.
- * The first such reset shortens the timeout for that endpoint; a reset at a second endpoint
- * shortens it for all endpoints, since endpoints of the same implementation behave alike. New
- * connections are cheap, but not free: without such resets the advertised timeout is used.
+ * advertise how long they keep idle connections, but some close them earlier without notice. The
+ * first such reset shortens the timeout for that endpoint; a reset at a second endpoint shortens it
+ * for all endpoints, since endpoints of the same implementation behave alike. New connections are
+ * cheap, but not free: without such resets the advertised timeout is used.
  *
  * <p>Not thread-safe: confined to the entry's event loop thread.
  */
@@ -25,14 +25,15 @@
   /** Subtracted from the advertised timeout, which is in whole seconds. */
   private static final Duration ADVERTISED_MARGIN = Duration.ofSeconds(1);
 
+  /** Lower bound of the timeout derived from the advertised one. */
   private static final Duration MIN_ADVERTISED_TIMEOUT = Duration.ofMillis(400);
 
-  /** Timeout after early closes; no endpoint closes a connection that was idle for less. */
+  /** Timeout after early closes; endpoints are assumed not to close connections idle for less. */
   private static final Duration EARLY_CLOSE_TIMEOUT = Duration.ofMillis(200);
 
   /**
-   * How long a reset counts: early closes occur over periods of seconds, and new ones are detected
-   * at once.
+   * How long a reset counts: an endpoint closes connections early for periods of seconds, and the
+   * first reset of a new period is detected immediately.
    */
   private static final Duration EARLY_CLOSE_RETENTION = Duration.ofSeconds(20);
 
@@ -57,7 +58,7 @@
    * @param advertised the timeout that the endpoint advertises, if any
    */
   public Duration idleTimeout(String address, Optional<Duration> advertised, Instant now) {
-    Duration timeout = advertised.map(s -> s.minus(ADVERTISED_MARGIN)).orElse(DEFAULT_TIMEOUT);
+    Duration timeout = advertised.map(t -> t.minus(ADVERTISED_MARGIN)).orElse(DEFAULT_TIMEOUT);
     Duration boundedTimeout =
         timeout.compareTo(MIN_ADVERTISED_TIMEOUT) < 0 ? MIN_ADVERTISED_TIMEOUT : timeout;
     return closesEarly(address, now) ? EARLY_CLOSE_TIMEOUT : boundedTimeout;
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/OutputTokenTime.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/OutputTokenTime.java
@@ -7,11 +7,11 @@
  * Estimates an engine's time per output token from the intervals between the events of its
  * responses.
  *
- * <p>While an engine prefills prompts, each of its streams gets one token per prefill chunk. A
+ * <p>While an engine prefills prompts, each of its streams produces one token per prefill chunk. A
  * response that takes 8 ms per token on an idle engine takes 60 ms per token on one that prefills
- * all the time, and a long response then misses its deadline although its first event was early.
- * Designed for a peak in one region while another is at its trough: by the time to the first byte
- * alone, both would be acceptable.
+ * continuously, and a long response then misses its deadline although its first event was early.
+ * Designed for a peak in one region while another is at its trough: judged by the time to the first
+ * byte alone, both would be acceptable.
  *
  * <p>Not thread-safe: confined to the entry's event loop thread.
  */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placement.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placement.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** The decision on where a request goes. */
+/** The decision where to send a request. */
 public sealed interface Placement {
   /** Returns the value of the metric label for this decision. */
   default String where() {
@@ -16,7 +16,7 @@
   }
 
   /**
-   * The request goes to an endpoint of this region.
+   * The request is sent to an endpoint of this region.
    *
    * @param endpoint the endpoint
    * @param expectedMillis the estimated time to the first byte of its response
@@ -40,7 +40,7 @@
   record PrefixFetch(EndpointTracker source, long tokens) {}
 
   /**
-   * The request goes to an entry of another region, which places it there.
+   * The request is relayed to an entry of another region, which places it there.
    *
    * @param region the region
    * @param expectedMillis the estimated time to the first byte of its response
@@ -52,7 +52,7 @@
    *
    * @param reason the reason, for the log and the caller
    * @param retryAfter the delay after which the caller should retry
-   * @param evidence the waits behind the decision, for the log
+   * @param evidence the waits on which the decision is based, for the log
    */
   record Refused(Reason reason, Duration retryAfter, RefusalDetails evidence)
       implements Placement {}
@@ -69,11 +69,13 @@
 
   /** The reason why a request is refused. */
   enum Reason {
-    /** No endpoint that may run the request is known or usable. */
+    /** No usable endpoint that may run the request is registered. */
     NO_ENDPOINT,
     /** Every endpoint that may run the request has reached its rate limit or requested a pause. */
     PACED,
-    /** The wait exceeds what the caller's objective allows wherever the request may run. */
+    /**
+     * The wait exceeds what the caller's objective allows in every region that may run the request.
+     */
     OVERLOADED
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PlacementMechanism.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PlacementMechanism.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * A part of the placement that can be disabled on its own, so that its effect on a deployment can
- * be measured there.
+ * A part of the placement that can be disabled on its own, so that its effect can be measured in a
+ * deployment.
  */
 public enum PlacementMechanism {
   /** Endpoints fetch KV cache of shared prefixes from each other. */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PlacementRequest.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PlacementRequest.java
@@ -13,8 +13,8 @@
  * @param expectedOutputTokens the estimated length of its response; 0 for a plain service
  * @param parts the prompt's parts, as far as the caller identified them
  * @param firstByteObjective the caller's objective for the time to the first byte of the response
- * @param remaining the time left until its deadline
- * @param excludedEndpoints ids of endpoints that must not be tried, or not again
+ * @param remaining the remaining time until its deadline
+ * @param excludedEndpoints ids of endpoints to which the request must not be sent, or not again
  */
 public record PlacementRequest(
     String service,
@@ -42,7 +42,7 @@
     return keyOf(sharedParts());
   }
 
-  /** Returns a key of some leading parts. */
+  /** Returns a key that identifies a list of parts. */
   public static String keyOf(List<PromptPart> parts) {
     StringBuilder key = new StringBuilder();
     for (PromptPart part : parts) {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placer.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placer.java
@@ -14,14 +14,14 @@
 import org.lacewingcroft.route.ServiceSpec;
 
 /**
- * Decides where a request goes: to the endpoint of this region with the lowest estimated time to
- * the first byte, to another region if that is clearly faster, or back to its caller at once if the
- * wait would be too long everywhere.
+ * Decides where to send a request: to the endpoint of this region with the lowest score, which is
+ * the estimated response time plus penalties, or to another region if that is clearly faster. The
+ * request is refused immediately if the wait would be too long everywhere.
  *
  * <p>Designed for a region's peak: prompts arrive faster than its engines can prefill them.
  * Admitting all of them would make every response late, so the wait is bounded by the callers'
- * latency objective, and overflow is sent to regions whose peak is at another hour before it is
- * refused.
+ * latency objective, and requests beyond it are sent to regions whose peak is at another hour
+ * before any are refused.
  *
  * @param coldSenders how many entries of a region may send to one cold endpoint, so that together
  *     they stay within its limit
@@ -46,7 +46,7 @@
 
   /**
    * Weight, on top of the time itself, of prefilling shared prefix tokens that another endpoint
-   * already caches: it also evicts other prefixes from the cache.
+   * already caches: the duplicate also evicts other prefixes from the cache.
    */
   private static final double DUPLICATE_PREFILL_FACTOR = 8;
 
@@ -57,7 +57,7 @@
   private static final double FETCH_FACTOR = 0.7;
 
   /**
-   * Minimum number of tokens to fetch: for fewer, setting up the fetch takes as long as the
+   * Minimum number of tokens to fetch: for fewer tokens, setting up the fetch takes as long as the
    * prefill.
    */
   private static final long MIN_FETCH_TOKENS = 400;
@@ -66,14 +66,14 @@
   private static final double MIN_FETCH_SPEEDUP = 2;
 
   /**
-   * Share of the objective up to which an estimated time to the first byte is expected to be on
-   * time despite estimation errors.
+   * Share of the objective up to which an estimated time to the first byte is expected to meet the
+   * objective despite estimation errors.
    */
   private static final double SAFE_OBJECTIVE_SHARE = 0.5;
 
   /**
-   * Additional weight of each ms beyond that share: a late response is worse than a prefix that is
-   * prefilled again.
+   * Additional weight of each ms beyond {@link #SAFE_OBJECTIVE_SHARE}: a late response is worse
+   * than prefilling a prefix again.
    */
   private static final double LATENESS_FACTOR = 2;
 
@@ -121,9 +121,9 @@
    * @param maxInFlightPerEndpoint limit of this entry's requests in flight at one endpoint
    * @param regions the other regions' load; empty if the request must stay in this region
    * @param allowedRegions regions that may run the request; empty for any
-   * @param excludedRegions regions that must not be tried again
+   * @param excludedRegions regions to which the request must not be sent again
    * @param region this region
-   * @param prefixHolders the service's endpoints in any region from which KV cache may be fetched
+   * @param prefixSources the service's endpoints in any region from which KV cache may be fetched
    * @param engine the service's engine; empty for a plain service
    * @param disabledMechanisms mechanisms that are not used
    */
@@ -136,7 +136,7 @@
       Set<String> allowedRegions,
       Set<String> excludedRegions,
       String region,
-      Collection<EndpointTracker> prefixHolders,
+      Collection<EndpointTracker> prefixSources,
       Optional<ServiceSpec.Engine> engine,
       Set<PlacementMechanism> disabledMechanisms) {
     private boolean uses(PlacementMechanism mechanism) {
@@ -154,7 +154,7 @@
       double score,
       Optional<Placement.PrefixFetch> fetch) {}
 
-  /** Places a request. */
+  /** Decides where to send a request. */
   public Placement place(PlacementRequest request, Context context, Instant now) {
     Optional<ScoredEndpoint> local =
         allowsThisRegion(context) ? bestLocal(request, context, now) : Optional.empty();
@@ -217,11 +217,11 @@
   }
 
   /**
-   * Returns the longest wait with which a request is accepted. A request with a prompt must get its
-   * first byte within the objective; if its own prefill alone exceeds the objective, it may still
-   * wait for a part of it, so that it is served. Requests to a plain service are short and a late
-   * response delays no other request, so they may wait for as long as a response still reaches
-   * their callers.
+   * Returns the longest wait with which a request is accepted. The first byte of the response to a
+   * prompt must arrive within the objective; if the request's own prefill exceeds it, the request
+   * may still wait for a part of the objective, so that long prompts are served. Requests to a
+   * plain service are short and a late response delays no other request, so they may wait as long
+   * as the response can still reach the caller in time.
    */
   private static double maxWaitMillis(PlacementRequest request, double prefillMillis) {
     double objective = request.firstByteObjective().toMillis();
@@ -301,8 +301,8 @@
 
   private static Duration boundRetryAfter(Duration delay, PlacementRequest request) {
     Duration max = request.remaining().dividedBy(MAX_RETRY_AFTER_DIVISOR);
-    Duration atLeast = delay.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : delay;
-    return atLeast.compareTo(max) > 0 ? max : atLeast;
+    Duration lowerBounded = delay.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : delay;
+    return lowerBounded.compareTo(max) > 0 ? max : lowerBounded;
   }
 
   private Optional<ScoredEndpoint> bestLocal(
@@ -357,14 +357,14 @@
   }
 
   /**
-   * Returns the endpoints that cache a prefix of the prompt long enough to fetch. Computed once per
+   * Returns the endpoints that cache a prefix of the prompt long enough to fetch; computed once per
    * request.
    */
   private static List<CacheHolder> cacheHolders(PlacementRequest request, Context context) {
     if (request.sharedTokens() < MIN_FETCH_TOKENS || !supportsFetch(context)) {
       return List.of();
     }
-    return context.prefixHolders().stream()
+    return context.prefixSources().stream()
         .filter(source -> !request.excludedEndpoints().contains(source.record().id()))
         .map(source -> new CacheHolder(source, source.fetchableTokens(request)))
         .filter(holder -> holder.tokens() >= MIN_FETCH_TOKENS)
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PrefillQueue.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PrefillQueue.java
@@ -11,12 +11,11 @@
  * Tracks the prompts sent to an engine that it has not prefilled yet, including those that other
  * entries report.
  *
- * <p>An engine prefills one prompt at a time to its end, and then continues with the most urgent of
- * those that wait. So an urgent request waits for all prompts of at least the same urgency and for
- * the remainder of the prompt in progress, however low its priority: a short prompt behind one of
- * 30,000 tokens waits for a third of a second. Over a day's 1,429 short requests, the times to the
- * first byte correlate at 0.37 with a model without that remainder and at 0.87 with one that
- * includes it.
+ * <p>An engine prefills one prompt at a time to completion, and then the most urgent waiting one.
+ * So an urgent request waits for all prompts of at least the same urgency and for the remainder of
+ * the prompt in progress, however low its priority: a short prompt behind one of 30,000 tokens
+ * waits for a third of a second. For 1,429 short requests of one day, the times to the first byte
+ * correlate at 0.37 with a model without that remainder and at 0.87 with one that includes it.
  *
  * <p>Not thread-safe: confined to the entry's event loop thread.
  */
@@ -77,9 +76,9 @@
   }
 
   /**
-   * Returns the number of tokens that are prefilled before a request of a priority that is sent
-   * now.
+   * Returns the number of tokens that the engine prefills before a request sent now.
    *
+   * @param priority the priority of that request, 0 the most urgent
    * @param tokensPerMilli the engine's prefill speed
    */
   double tokensAhead(int priority, double tokensPerMilli, Instant now) {
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/RegionLoads.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/RegionLoads.java
@@ -9,20 +9,20 @@
 import org.lacewingcroft.fleet.FleetMessage.ServiceLoad;
 
 /**
- * Tracks the load of the services of other regions, as their entries report it, corrected by what
- * this entry has sent there since.
+ * Tracks the load of the services of other regions, as their entries report it, plus the requests
+ * relayed there since the last report.
  *
  * <p>Not thread-safe: confined to the entry's event loop thread.
  */
 public final class RegionLoads {
   /**
    * Age of a region's last report after which the region is assumed to be unreachable: a region
-   * reports its load twice a second, and a request relayed to a disconnected region waits until it
-   * times out.
+   * reports its load twice per second, and a request relayed to a disconnected region waits until
+   * it times out.
    */
   private static final Duration REPORT_TTL = Duration.ofMillis(1_300);
 
-  /** How long no request is relayed to a region after a relay failed to reach it. */
+  /** Time during which no request is relayed to a region after a relay failed to reach it. */
   private static final Duration UNREACHABLE_BACKOFF = Duration.ofMillis(1_500);
 
   /** Prefill speed assumed for another region's endpoints. */
@@ -73,7 +73,7 @@
     unreachableAt.put(region, now);
   }
 
-  /** Returns whether a region is known to have endpoints of a service that accept requests. */
+  /** Returns whether a region has recently reported endpoints of a service that accept requests. */
   public boolean serves(String region, String service, Instant now) {
     Report report = reports.get(new ServiceKey(region, service));
     return report != null
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/TrackedEndpoints.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/TrackedEndpoints.java
@@ -17,8 +17,8 @@
 import org.lacewingcroft.misc.BoundedMap;
 
 /**
- * Holds the endpoints known to an entry: their records, as the control instances report them, and a
- * tracker for the newest incarnation of each.
+ * Holds an entry's state of the endpoints: their records, as the control instances report them, and
+ * a tracker for the newest incarnation of each.
  *
  * <p>Not thread-safe: confined to the entry's event loop thread.
  */
@@ -29,6 +29,7 @@
    */
   private static final Duration ROSTER_PROPAGATION_TIME = Duration.ofSeconds(3);
 
+  /** Maximum number of incarnations whose advertised conditions are retained. */
   private static final int MAX_CONDITIONS = 4_096;
 
   private final EndpointRoster roster = new EndpointRoster();
@@ -47,18 +48,17 @@
   /** Receives changes of the endpoints. */
   public interface Listener {
     /**
-     * Called on a change that other components need: a new endpoint, another state, or an endpoint
-     * that has become cold.
+     * Called when an endpoint is new, changes its state or has become cold.
      *
      * @param record the endpoint's current record
-     * @param cause the instance that reported the change
+     * @param reporter the instance that reported the change
      */
-    void changed(EndpointRecord record, String cause);
+    void changed(EndpointRecord record, String reporter);
 
     /** Called when an endpoint is lost or another incarnation has replaced it under its id. */
     void incarnationLost(EndpointTracker endpoint);
 
-    /** Called when an endpoint that was lost is ready again as the same incarnation. */
+    /** Called when an endpoint that was recorded as lost is ready again as the same incarnation. */
     void incarnationReturned(EndpointRecord record);
   }
 
@@ -90,9 +90,9 @@
   }
 
   /**
-   * Handles an endpoint that a complete roster does not contain. One that is already lost is
-   * removed: as long as it is kept, the digests differ and the complete roster is sent again and
-   * again.
+   * Handles an endpoint that a complete roster does not contain. An endpoint that is already lost
+   * is removed: as long as it is retained, the digests differ and the complete roster is sent
+   * repeatedly.
    */
   private void handleMissing(EndpointRecord record, String reporter, Instant now) {
     switch (record.state()) {
@@ -110,7 +110,8 @@
 
   /**
    * Applies a record. A later incarnation gets a new tracker, because its predecessor's cached
-   * prompts and requests in flight do not apply to it; those requests end on the old tracker.
+   * prompts and requests in flight do not apply to it; those requests stay with the old tracker
+   * until they end.
    */
   private void apply(EndpointRecord record, String reporter, Instant now) {
     final Optional<EndpointRecord> changed = roster.merge(record, now);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/QuarantineTrials.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/QuarantineTrials.java
@@ -11,9 +11,9 @@
 
 /**
  * Decides when a quarantined content is run again as a trial. A content that was quarantined by
- * mistake completes in the trial and is cleared; one that does crash endpoints crashes one more and
- * stays quarantined. The entries take turns, so that one of them runs the trial while the others
- * still refuse the content.
+ * mistake completes in the trial and is cleared; one that does crash endpoints crashes another one
+ * and stays quarantined. The entries take turns, so that one of them runs the trial while the
+ * others still refuse the content.
  *
  * <p>Not thread-safe.
  */
@@ -24,7 +24,9 @@
   /** Length of an entry's turn. */
   static final Duration TURN_DURATION = Duration.ofSeconds(10);
 
-  /** Number of trials that may crash an endpoint; after that no trial of the content is run. */
+  /**
+   * Maximum number of trials of a content that crash an endpoint; afterwards it is not tried again.
+   */
   static final int MAX_FAILED_TRIALS = 2;
 
   /** Maximum number of contents whose last trial is retained. */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/RecentCompletions.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/RecentCompletions.java
@@ -7,14 +7,15 @@
 import org.lacewingcroft.request.RequestFingerprint;
 
 /**
- * The request contents that endpoints have recently completed. When many endpoints crash at once,
- * by the loss of a failure domain or by overload, a content that many callers request is running at
- * several of them; its completion at another endpoint clears it.
+ * The request contents that endpoints have recently run to completion. When many endpoints crash
+ * simultaneously, by the loss of a failure domain or by overload, a content that many callers
+ * request is running at several of them; its completion at another endpoint clears it of suspicion.
+ * A content is identified by its fingerprint.
  *
  * <p>Not thread-safe.
  */
 public final class RecentCompletions {
-  /** How long a completion clears a content. */
+  /** How long a completion clears a content of suspicion. */
   static final Duration COMPLETION_TTL = Duration.ofSeconds(10);
 
   /** Maximum number of contents retained. */
@@ -23,7 +24,7 @@
   private final Map<RequestFingerprint, Instant> completedAt =
       BoundedMap.evictingLeastRecentlyUsed(MAX_CONTENTS);
 
-  /** Records that an endpoint has completed a content. */
+  /** Records that an endpoint has run a content to completion. */
   public void record(RequestFingerprint content, Instant now) {
     completedAt.put(content, now);
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/Suspicion.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/Suspicion.java
@@ -33,7 +33,10 @@
   /** Crashes within this time, as observed by instances in several regions, are simultaneous. */
   private static final Duration SIMULTANEITY_WINDOW = Duration.ofMillis(100);
 
-  /** The same for crashes detected by timeout, that is, when the next announcements are missed. */
+  /**
+   * As {@link #SIMULTANEITY_WINDOW}, for crashes detected by timeout: their times are approximate,
+   * because they are detected only when the next announcements are missed.
+   */
   private static final Duration TIMEOUT_SIMULTANEITY_WINDOW = Duration.ofMillis(2_500);
 
   /** Copies the set so that the suspicion is immutable. */
@@ -92,7 +95,9 @@
     return crashes.stream().map(EndpointCrash::incarnation).collect(Collectors.toUnmodifiableSet());
   }
 
-  /** Returns the time since the last crash or since the content was cleared, if that is shorter. */
+  /**
+   * Returns the time since the last crash or since the content was cleared, whichever is shorter.
+   */
   public Duration age() {
     return Stream.concat(crashes.stream().map(EndpointCrash::age), clearedAge.stream())
         .min(Comparator.naturalOrder())
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/SuspicionLedger.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/SuspicionLedger.java
@@ -32,8 +32,8 @@
  */
 public final class SuspicionLedger {
   /**
-   * Number of independent crashes from which on instances make sure that they have recorded the
-   * same crashes.
+   * Minimum number of independent crashes of a content for which instances compare digests, to make
+   * sure that they have recorded the same crashes.
    */
   public static final int RECURRING_THRESHOLD = Suspicion.QUARANTINE_THRESHOLD - 1;
 
@@ -46,7 +46,10 @@
   /** Maximum number of crashes retained per content. */
   static final int MAX_CRASHES_PER_CONTENT = 16;
 
-  /** Maximum number of incarnations retained that were presumed crashed and are still alive. */
+  /**
+   * Maximum number of retractions retained, for incarnations that were presumed crashed and are
+   * still alive.
+   */
   private static final int MAX_RETRACTIONS = 1_024;
 
   private final Map<RequestFingerprint, Evidence> evidenceByContent = new LinkedHashMap<>();
@@ -112,7 +115,7 @@
     }
 
     /**
-     * Returns a hash of the content and its crashes. The incarnations are left out once the content
+     * Returns a hash of the content and its crashes. The incarnations are omitted once the content
      * is quarantined or has the maximum number of crashes: instances may then retain different
      * ones.
      */
@@ -131,7 +134,7 @@
   }
 
   /**
-   * Merges received or observed evidence.
+   * Merges evidence that this instance received or observed.
    *
    * @return the merged evidence against the content, empty if this adds nothing
    */
@@ -217,7 +220,7 @@
 
   /**
    * Evicts the content with the fewest crashes if there are too many contents; of several such
-   * contents the one that was updated longest ago.
+   * contents, the least recently updated one.
    */
   private void evictIfFull() {
     if (evidenceByContent.size() <= MAX_CONTENTS) {
@@ -264,7 +267,7 @@
     return suspicions(e -> e.independentCrashes() >= Suspicion.QUARANTINE_THRESHOLD, now);
   }
 
-  /** Returns how much longer a content is quarantined, empty if it is not quarantined. */
+  /** Returns the remaining time of a content's quarantine, empty if it is not quarantined. */
   public Optional<Duration> remainingQuarantine(RequestFingerprint content, Instant now) {
     return quarantined(content, now).map(s -> RETENTION.minus(s.age()));
   }
@@ -287,14 +290,14 @@
   }
 
   /**
-   * Returns a digest by which instances compare whether they have recorded the same evidence
-   * against contents with at least {@link #RECURRING_THRESHOLD} crashes.
+   * Returns a digest of the evidence against contents with at least {@link #RECURRING_THRESHOLD}
+   * independent crashes. Instances with different digests have recorded different evidence.
    */
   public int recurringDigest() {
     return recurringDigest;
   }
 
-  /** Returns the same kind of digest of the quarantined contents. */
+  /** Returns the corresponding digest of the evidence against quarantined contents. */
   public int quarantinedDigest() {
     return quarantinedDigest;
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/UnansweredRuns.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/UnansweredRuns.java
@@ -12,17 +12,20 @@
 import org.lacewingcroft.request.RequestFingerprint;
 
 /**
- * The runs of request contents that endpoints did not complete: the connection closed, or the entry
- * abandoned the run because the caller disconnected or the timeout expired. A connection closes for
- * many reasons, and a crash of the endpoint is only one of them. A crash is established when new
- * connections are refused, announcements are missed or another incarnation has replaced the
- * endpoint; the contents that the endpoint was running when it sent its last response byte become
- * suspect then.
+ * The runs of request contents that endpoints did not complete: the connection was lost, or the
+ * entry abandoned the run because the caller disconnected or the timeout expired. A connection is
+ * lost for many reasons, and a crash of the endpoint is only one of them. A crash is established
+ * when new connections are refused, announcements are missed or another incarnation has replaced
+ * the endpoint; the contents that the endpoint was running when it sent its last response byte
+ * become suspect then.
  *
  * <p>Not thread-safe.
  */
 public final class UnansweredRuns {
-  /** How long an incomplete run and an endpoint's crash are retained to be matched. */
+  /**
+   * How long an incomplete run and an endpoint's crash are retained, so that one can be attributed
+   * to the other.
+   */
   static final Duration RETENTION = Duration.ofSeconds(10);
 
   /** Maximum number of endpoints retained. */
@@ -42,9 +45,9 @@
 
   /** How a run ended without a complete response. */
   public enum Kind {
-    /** Its connection closed; if the endpoint crashed, it crashed at that moment. */
+    /** The connection was lost; if the endpoint crashed, it crashed at that moment. */
     BROKEN_OFF,
-    /** The entry abandoned it. */
+    /** The entry abandoned the run, because the caller disconnected or the timeout expired. */
     GIVEN_UP
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/request/CallerRequest.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/request/CallerRequest.java
@@ -33,7 +33,7 @@
  * @param idempotencyKey the caller's idempotency key, if any
  * @param idempotent false if the request must run at most once
  * @param timeout how long the caller waits, from now
- * @param forwardedFrom the region that forwarded the request here, if any
+ * @param forwardedFrom the region that forwarded the request to this one, if any
  * @param prefixKey the first {@link #PREFIX_CHARS} characters of the first message, for cache
  *     affinity
  * @param body the raw body, relayed unchanged to the endpoint
@@ -57,7 +57,8 @@
   public static final String ORGANISATION_HEADER = "X-Organisation";
 
   /**
-   * Header in which standard OpenAI clients name the organisation; read if the other is missing.
+   * Header in which standard OpenAI clients name the organisation; read if {@link
+   * #ORGANISATION_HEADER} is missing.
    */
   public static final String OPENAI_ORGANISATION_HEADER = "OpenAI-Organization";
 
@@ -84,16 +85,16 @@
 
   private static final Duration MAX_TIMEOUT = Duration.ofMinutes(30);
 
-  /** How many characters of the prompt form the cache affinity key. */
+  /** Number of leading characters of the first message that form the cache affinity key. */
   public static final int PREFIX_CHARS = 256;
 
-  /** The engines' chat completion path. */
+  /** The path of chat completions at the engines. */
   public static final String CHAT_PATH = "/v1/chat/completions";
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
   /**
-   * Parses a request.
+   * Parses a chat completion request.
    *
    * @param headers looks up a header by name, case-insensitively; null when absent
    * @param body the request body
@@ -104,6 +105,7 @@
    */
   public static CallerRequest parse(
       Function<String, String> headers, byte[] body, Supplier<Set<String>> knownRegions) {
+    // Rejects a missing organisation before any other error.
     organisationOf(headers);
     JsonNode root;
     try {
@@ -153,6 +155,7 @@
       String path,
       byte[] body,
       Supplier<Set<String>> knownRegions) {
+    // Rejects a missing organisation before any other error.
     organisationOf(headers);
     if (service == null || service.isBlank() || !path.startsWith("/")) {
       throw malformed("the path must be /v1/services/<service>/<path>");
@@ -205,7 +208,7 @@
         path);
   }
 
-  /** Returns the fingerprint of the request content, which does not depend on the caller. */
+  /** Returns the fingerprint of the request content, the same for all callers. */
   public RequestFingerprint fingerprint() {
     return RequestFingerprint.of("POST", "", model + ' ' + path, body);
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/request/RequestFingerprint.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/request/RequestFingerprint.java
@@ -20,14 +20,15 @@
 
   private static final int HEX_DIGIT_COUNT = 16;
 
-  /** Terminates each hashed field before the body; no such field can contain it. */
+  /** Terminates each hashed field before the body; none of these fields can contain it. */
   private static final char FIELD_TERMINATOR = '\n';
 
   /**
    * Returns the fingerprint of a request.
    *
    * @param method the HTTP method
-   * @param hostHeader the Host header; its port is ignored, because it may belong to one entry only
+   * @param hostHeader the Host header; its port is ignored, because entries may listen on different
+   *     ports
    * @param target the path and query
    * @param body the request body
    */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/stream/EventSplitter.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/stream/EventSplitter.java
@@ -6,11 +6,11 @@
 import java.util.OptionalLong;
 
 /**
- * Splits an event stream into events, so that only complete events are forwarded: an event that is
- * cut off can then be generated again by another endpoint, starting after the last event that the
+ * Splits an event stream into events, so that only complete events are forwarded: if the stream is
+ * interrupted, another endpoint can generate the rest of it, starting after the last event that the
  * caller received.
  *
- * <p>An event ends with an empty line; its id is in a line {@code id: N}.
+ * <p>An event ends with an empty line; its numeric id, if any, is in a line {@code id: N}.
  */
 public final class EventSplitter {
   private static final String ID_FIELD = "id:";
@@ -54,9 +54,9 @@
     byte[] bytes = current.toByteArray();
     current.reset();
     OptionalLong id = idOf(bytes);
-    boolean forwarded =
+    boolean alreadyForwarded =
         id.isPresent() && lastId.isPresent() && id.getAsLong() <= lastId.getAsLong();
-    if (!forwarded) {
+    if (!alreadyForwarded) {
       completed.writeBytes(bytes);
       lastId = id.isPresent() ? id : lastId;
     }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/EndpointRateLimitTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/EndpointRateLimitTest.java
@@ -34,9 +34,7 @@
   private static final double MAX_OVERSHOOT_FACTOR = 1.5;
   private static final double SLACK_REQUESTS = 5;
 
-  /**
-   * Minimum share of the rate that is used while callers request more than the rate at every entry.
-   */
+  /** Minimum share of the rate that is used while the callers of every entry exceed the rate. */
   private static final double MIN_UTILISATION = 0.8;
 
   /**
@@ -155,7 +153,7 @@
     region.run();
     double maxRequests = region.maxRequestsInWindow();
     assertThat(
-        row + ", most requests in a window",
+        row + ", maximum number of requests in a window",
         maxRequests,
         lessThanOrEqualTo(row.maxRequestsInWindow()));
     if (row.churn().isEmpty()) {
@@ -204,7 +202,10 @@
     assertThat(limit.report(START), is(Optional.empty()));
   }
 
-  /** All senders may have crashed, or may have no requests for the endpoint. */
+  /**
+   * Guards against a limit that is never confirmed, because all senders have crashed or have no
+   * requests for the endpoint.
+   */
   @Test
   void unconfirmedLimitAdmitsOneTrialRequest() {
     EndpointRateLimit limit = new EndpointRateLimit();
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/FleetQuotasTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/FleetQuotasTest.java
@@ -143,7 +143,7 @@
     assertThat(fleet.rejected, is(0));
   }
 
-  /** An organisation jumps from its usual load to six times that load. */
+  /** The load of an organisation suddenly rises to six times its usual load. */
   @ParameterizedTest
   @MethodSource("loads")
   void entriesTogetherStayWithinTheQuota(double perSecond, long seed) {
@@ -154,12 +154,12 @@
         (perSecond * WINDOW.toSeconds() + perSecond) * MAX_OVERSHOOT_FACTOR + SLACK_TOKENS;
     assertThat((double) fleet.maxTokensInWindow, lessThanOrEqualTo(allowed));
     assertThat(
-        "used, not only rejected",
+        "quota is used",
         (double) fleet.maxTokensInWindow,
         greaterThan(perSecond * WINDOW.toSeconds() * 0.9));
   }
 
-  /** Demonstrates the alternative, one bucket per entry with a fixed share of rate and burst. */
+  /** Shows why quotas are not split: one bucket per entry with a fixed share of rate and burst. */
   @ParameterizedTest
   @MethodSource("loads")
   void fixedSharesRejectRequestsBelowTheQuota(double perSecond, long seed) {
@@ -210,7 +210,7 @@
     assertThat(quotas.drainUnreportedUsage(), is(Map.of()));
   }
 
-  /** Such a request would wait forever if the bucket had to hold its full cost. */
+  /** Such a request would never be admitted if the bucket had to hold its full cost. */
   @Test
   void requestLargerThanTheBurstIsAdmittedByFullBucket() {
     Organisation desk = organisation(100, 1_000);
@@ -253,8 +253,8 @@
 
   @ParameterizedTest
   @MethodSource("costs")
-  void countsTokensOrRequests(Quota.Unit unit, long statedTokens, long cost) {
-    assertThat(new Quota(1, 1, unit, 200).costOf(statedTokens), is(cost));
+  void countsTokensOrRequests(Quota.Unit unit, long declaredTokens, long cost) {
+    assertThat(new Quota(1, 1, unit, 200).costOf(declaredTokens), is(cost));
   }
 
   @Test
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/LimitsTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/LimitsTest.java
@@ -15,6 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
+/** Tests the admission limiter, the retry budget and the backoff. */
 class LimitsTest {
   private static final Instant START = Instant.EPOCH;
 
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/ExtraSendBudgetTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/ExtraSendBudgetTest.java
@@ -9,7 +9,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The extra sends of all entries together stay within the shared budget, however many they attempt.
+ * Tests that the extra sends of all entries together stay within the shared budget, however many
+ * they attempt.
  */
 class ExtraSendBudgetTest {
   @ParameterizedTest
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/KeepAlivePolicyTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/KeepAlivePolicyTest.java
@@ -12,7 +12,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * How long a connection to the endpoint "a" may be idle, after resets at it and at other endpoints.
+ * Tests how long a connection to the endpoint "a" may be idle, after resets at it and at other
+ * endpoints.
  */
 class KeepAlivePolicyTest {
   private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
@@ -42,19 +43,19 @@
     List<Reset> atTwoOthers = List.of(new Reset("b", 300), new Reset("c", 300));
     return Stream.of(
         new Row("no timeout advertised", List.of(), 0, 0, 4_000),
-        new Row("stated", List.of(), 10, 0, 9_000),
+        new Row("advertised timeout minus the margin", List.of(), 10, 0, 9_000),
         new Row("short advertised timeout", List.of(), 1, 0, 400),
         new Row("early close at this endpoint", atA, 10, 100, 200),
         new Row("early close at one other endpoint", atAnother, 10, 100, 9_000),
         new Row("early closes at two other endpoints", atTwoOthers, 10, 100, 200),
         new Row(
             "reset of a recently used connection", List.of(new Reset("a", 100)), 10, 100, 9_000),
-        new Row("forgotten", atA, 10, 20_000, 9_000));
+        new Row("reset expired", atA, 10, 20_000, 9_000));
   }
 
   @ParameterizedTest
   @MethodSource("rows")
-  void matchesEndpointTimeout(Row row) {
+  void returnsIdleTimeout(Row row) {
     KeepAlivePolicy policy = new KeepAlivePolicy();
     row.resets()
         .forEach(r -> policy.recordReset(r.address(), Duration.ofMillis(r.idleMillis()), START));
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/LoadReplay.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/LoadReplay.java
@@ -33,7 +33,7 @@
 
   /**
    * Interval at which entries report their load to each other; prompts of at least {@link
-   * #LONG_PROMPT_TOKENS} are reported at once.
+   * #LONG_PROMPT_TOKENS} are reported immediately.
    */
   private static final int REPORT_INTERVAL_MILLIS = 120;
 
@@ -45,7 +45,7 @@
    * A kind of request of the trace.
    *
    * @param name the name of the kind
-   * @param perSecond the mean arrival rate, in requests a second
+   * @param perSecond the mean arrival rate, in requests per second
    * @param priority the priority, 0 the most urgent
    * @param sharedTokens the length of the prompt's shared prefix
    * @param sharedPrefixes the number of different shared prefixes
@@ -113,7 +113,7 @@
     private final PrefixCacheModel cache = new PrefixCacheModel();
     private final PriorityQueue<QueuedRequest> queue =
         new PriorityQueue<>(
-            Comparator.comparingInt((QueuedRequest w) -> w.request().priority())
+            Comparator.comparingInt((QueuedRequest q) -> q.request().priority())
                 .thenComparing(QueuedRequest::arrivedAt));
     private final List<Map.Entry<Instant, QueuedRequest>> streaming = new ArrayList<>();
     private Optional<QueuedRequest> prefilling = Optional.empty();
@@ -148,8 +148,8 @@
   }
 
   /**
-   * Adds engines of a neighbouring region, which get no requests and cache all shared parts of the
-   * requests of a kind.
+   * Adds engines of a neighbouring region, which receive no requests and cache all shared parts of
+   * the requests of a kind.
    */
   LoadReplay withNeighbours(RequestKind kind, int count) {
     for (int n = 0; n < count; n++) {
@@ -219,7 +219,7 @@
   private void arrive(RequestKind kind, Instant now) {
     Results kindResults = results.get(kind.name());
     kindResults.sent++;
-    // Log-normal with the given mean: the largest tenth is at least about three times as long.
+    // Log-normal with the given mean: a tenth exceeds 2.2 times the mean, 3.6 times the median.
     double spread = 1.0;
     long ownTokens =
         Math.round(
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/OutputTokenTimeTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/OutputTokenTimeTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Estimated time per output token, from the intervals between events. */
+/** Tests the time per output token estimated from the intervals between events. */
 class OutputTokenTimeTest {
   private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
   private static final int TOKENS_PER_EVENT = 4;
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacementMechanismTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacementMechanismTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Parsing of the setting that lists disabled mechanisms. */
+/** Tests parsing of the setting that lists disabled mechanisms. */
 class PlacementMechanismTest {
   static Stream<Arguments> accepted() {
     return Stream.of(
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerLoadTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerLoadTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Placement under a region's load: long reviews that share long prefixes alongside short urgent
- * questions, at the rates of a day's trough, peak and overload. Requests arrive in bursts, and
- * refused callers retry once. Several entries exchange reports of their prompts: long ones are
- * reported at once, the others with a delay.
+ * Tests placement under a region's load: long reviews that share long prefixes alongside short
+ * urgent questions, at the rates of a day's trough, peak and overload. Requests arrive in bursts,
+ * and refused callers retry once. Several entries exchange reports of their prompts: long ones are
+ * reported immediately, the others with a delay.
  */
 class PlacerLoadTest {
   /** Value of an on-time review to its caller, relative to a question. */
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerTest.java
@@ -21,8 +21,8 @@
 import org.lacewingcroft.misc.Rendezvous;
 
 /**
- * Single decisions: which conditions keep an endpoint from getting requests, and when a request is
- * sent to another region.
+ * Tests single decisions: which conditions exclude an endpoint, and when a request is sent to
+ * another region.
  */
 class PlacerTest {
   private static final Instant NOW = Instant.parse("2030-01-01T00:00:00Z");
@@ -113,7 +113,7 @@
 
   @ParameterizedTest
   @MethodSource("rows")
-  void placesWhereServedInTime(Row row) {
+  void placesWhereServedOnTime(Row row) {
     EndpointTracker endpoint = tracker("i-1", row.state(), 0);
     if (row.backlogTokens() > 0) {
       endpoint.startRequest(request(row.backlogTokens()), 0, 400_000, NOW);
@@ -157,7 +157,7 @@
           Math.max(
               maxInSecond, (int) sent.stream().filter(t -> t.isAfter(now.minusSeconds(1))).count());
     }
-    assertThat("three senders, one request a second each", maxInSecond, equalTo(3));
+    assertThat("three senders, one request per second each", maxInSecond, equalTo(3));
   }
 
   /**
@@ -172,23 +172,26 @@
     }
   }
 
-  static Stream<AdvertisedRow> statedRows() {
+  static Stream<AdvertisedRow> advertisedRows() {
     Duration noPause = Duration.ZERO;
     Duration pause = Duration.ofSeconds(3);
     OptionalDouble unlimited = OptionalDouble.empty();
     OptionalDouble twoPerSecond = OptionalDouble.of(2);
     return Stream.of(
         new AdvertisedRow("nothing", noPause, unlimited, 0, "here"),
-        new AdvertisedRow("end of the pause", pause, unlimited, 2_999, "refused, back in 300 ms"),
-        new AdvertisedRow("start of the pause", pause, unlimited, 0, "refused, back in 1666 ms"),
+        new AdvertisedRow(
+            "end of the pause", pause, unlimited, 2_999, "refused, retry after 300 ms"),
+        new AdvertisedRow(
+            "start of the pause", pause, unlimited, 0, "refused, retry after 1666 ms"),
         new AdvertisedRow("after the pause", pause, unlimited, 3_000, "here"),
-        new AdvertisedRow("rate exceeded", noPause, twoPerSecond, 500, "refused, back in 1500 ms"),
+        new AdvertisedRow(
+            "rate exceeded", noPause, twoPerSecond, 500, "refused, retry after 1500 ms"),
         new AdvertisedRow("rate not exceeded", noPause, twoPerSecond, 2_000, "here"),
-        new AdvertisedRow("both", pause, twoPerSecond, 2_500, "refused, back in 500 ms"));
+        new AdvertisedRow("both", pause, twoPerSecond, 2_500, "refused, retry after 500 ms"));
   }
 
   @ParameterizedTest
-  @MethodSource("statedRows")
+  @MethodSource("advertisedRows")
   void respectsAdvertisedConditions(AdvertisedRow row) {
     EndpointTracker endpoint = tracker("i-1", EndpointState.READY, 0);
     row.perSecond()
@@ -204,7 +207,7 @@
     String outcome = outcome(placement);
     if (placement instanceof Placement.Refused refused) {
       assertThat(refused.reason(), equalTo(Placement.Reason.PACED));
-      outcome += ", back in " + refused.retryAfter().toMillis() + " ms";
+      outcome += ", retry after " + refused.retryAfter().toMillis() + " ms";
     }
     assertThat(outcome, equalTo(row.outcome()));
   }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PrefillQueueTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PrefillQueueTest.java
@@ -11,8 +11,8 @@
 import org.lacewingcroft.placement.PrefillQueue.PendingPrompt;
 
 /**
- * Estimated number of tokens that an engine prefills before a request that is sent now, at 100
- * tokens a millisecond.
+ * Tests the estimated number of tokens that an engine prefills before a request that is sent now,
+ * at 100 tokens per millisecond.
  */
 class PrefillQueueTest {
   private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PrefixFetchTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PrefixFetchTest.java
@@ -24,7 +24,7 @@
 import org.lacewingcroft.fleet.EndpointState;
 import org.lacewingcroft.route.ServiceSpec;
 
-/** From which endpoint a prompt prefix is fetched, and when it is prefilled instead. */
+/** Tests from which endpoint a prompt prefix is fetched, and when it is prefilled instead. */
 class PrefixFetchTest {
   private static final Instant NOW = Instant.parse("2030-01-01T00:00:00Z");
   private static final long KV_TOKENS = 345_000;
@@ -153,7 +153,10 @@
 
   static Stream<HolderRow> holders() {
     return Stream.of(
-        new HolderRow("answers", (e, now) -> startRequest(e, now).bytesReceived(now), true),
+        new HolderRow(
+            "sends the first byte of a response",
+            (e, now) -> startRequest(e, now).bytesReceived(now),
+            true),
         new HolderRow(
             "completes a response",
             (e, now) -> startRequest(e, now).finish(EndpointTracker.Outcome.ANSWERED, now),
@@ -207,9 +210,9 @@
 
   /**
    * An engine that caches three long prompts crashes at the peak, and the prompts are placed again
-   * on the two engines left. Guards against estimates that still assume a fetch from the crashed
-   * engine: the full prefill must be accounted for, so that it is distributed over both engines and
-   * the requests that follow are not placed behind prefills missing from the estimates.
+   * on the two remaining engines. Guards against estimates that still assume a fetch from the
+   * crashed engine: the full prefill must be accounted for, so that it is distributed over both
+   * engines and the requests that follow are not placed behind prefills missing from the estimates.
    */
   @Test
   void accountsForFullPrefillAfterCrash() {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/RegionLoadsTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/RegionLoadsTest.java
@@ -14,8 +14,8 @@
 import org.lacewingcroft.fleet.FleetMessage.ServiceLoad;
 
 /**
- * When another region is offered, and with which estimated wait, given its report and the requests
- * relayed since.
+ * Tests which region is returned as the best candidate, and with which estimated wait, given the
+ * reports and the requests relayed since.
  */
 class RegionLoadsTest {
   private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
@@ -89,10 +89,10 @@
   }
 
   /**
-   * Returns the load of a service with two endpoints, which prefill 60 tokens a millisecond each.
+   * Returns the load of a service with two endpoints, which prefill 60 tokens per millisecond each.
    */
   private static ServiceLoad load(long waitMillis) {
-    long[] waits = new long[EndpointTracker.PRIORITIES];
+    long[] waits = new long[EndpointTracker.PRIORITY_COUNT];
     Arrays.fill(waits, waitMillis);
     return new ServiceLoad("s", 2, waits, 10);
   }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/StreamReplay.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/StreamReplay.java
@@ -48,7 +48,10 @@
     private final EndpointTracker.InFlightRequest inFlightRequest;
     private final Instant deadline;
     private final int outputTokens;
+
+    /** Whether the deadline lies within the replay; only such requests count in the result. */
     private final boolean counted;
+
     private double remainingPromptTokens = PROMPT_TOKENS;
     private int producedTokens;
 
@@ -66,30 +69,32 @@
 
   private static final class Engine {
     private final EndpointTracker tracker;
-    private final double foreignTokensPerMilli;
+    private final double backgroundTokensPerMilli;
     private final Deque<Stream> pendingPrompts = new ArrayDeque<>();
     private final List<Stream> streams = new ArrayList<>();
-    private double remainingForeignTokens;
+    private double remainingBackgroundTokens;
     private double nextStepMillis;
 
-    private Engine(EndpointTracker tracker, double foreignTokensPerMilli) {
+    private Engine(EndpointTracker tracker, double backgroundTokensPerMilli) {
       this.tracker = tracker;
-      this.foreignTokensPerMilli = foreignTokensPerMilli;
+      this.backgroundTokensPerMilli = backgroundTokensPerMilli;
     }
   }
 
   /**
    * Creates a replay.
    *
-   * @param foreignTokensPerMilli for each engine the prompt tokens a millisecond that other callers
-   *     send
+   * @param backgroundTokensPerMilli the prompt tokens per millisecond that other callers send to
+   *     each engine
    */
   StreamReplay(
-      List<Double> foreignTokensPerMilli, Set<PlacementMechanism> disabledMechanisms, long seed) {
+      List<Double> backgroundTokensPerMilli,
+      Set<PlacementMechanism> disabledMechanisms,
+      long seed) {
     this.disabledMechanisms = disabledMechanisms;
     random = new Random(seed);
     placer = new Placer(3, new Random(seed + 1));
-    for (double foreignRate : foreignTokensPerMilli) {
+    for (double backgroundRate : backgroundTokensPerMilli) {
       EndpointRecord record =
           new EndpointRecord(
               "engine-" + engines.size(),
@@ -101,12 +106,13 @@
               EndpointState.READY,
               1,
               0);
-      engines.add(new Engine(new EndpointTracker(record, start), foreignRate));
+      engines.add(new Engine(new EndpointTracker(record, start), backgroundRate));
     }
   }
 
   /**
-   * Runs requests that arrive at random and returns the share of their responses that end in time.
+   * Runs requests that arrive at random and returns the share of their responses that complete
+   * before the deadline.
    */
   double run(double requestsPerSecond, double meanOutputTokens, Duration duration) {
     durationMillis = duration.toMillis();
@@ -116,7 +122,7 @@
             Math.max(EVENT_TOKENS, (int) (-meanOutputTokens * Math.log(random.nextDouble()))), ms);
       }
       for (Engine engine : engines) {
-        engine.remainingForeignTokens += engine.foreignTokensPerMilli;
+        engine.remainingBackgroundTokens += engine.backgroundTokensPerMilli;
         if (ms >= engine.nextStepMillis) {
           step(engine, ms);
         }
@@ -174,9 +180,9 @@
   private void step(Engine engine, long ms) {
     final Instant now = start.plusMillis(ms);
     double remainingChunkTokens = CHUNK_TOKENS;
-    double foreignTokens = Math.min(remainingChunkTokens, engine.remainingForeignTokens);
-    engine.remainingForeignTokens -= foreignTokens;
-    remainingChunkTokens -= foreignTokens;
+    double backgroundTokens = Math.min(remainingChunkTokens, engine.remainingBackgroundTokens);
+    engine.remainingBackgroundTokens -= backgroundTokens;
+    remainingChunkTokens -= backgroundTokens;
     while (remainingChunkTokens > 0 && !engine.pendingPrompts.isEmpty()) {
       Stream next = engine.pendingPrompts.peek();
       double prefilledTokens = Math.min(remainingChunkTokens, next.remainingPromptTokens);
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/TrackedEndpointsTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/TrackedEndpointsTest.java
@@ -20,7 +20,7 @@
 import org.lacewingcroft.fleet.EndpointState;
 import org.lacewingcroft.fleet.FleetMessage;
 
-/** An entry's view of the endpoints, from the updates that a control instance sends. */
+/** Tests which endpoints an entry tracks after the updates that a control instance sends. */
 class TrackedEndpointsTest {
   private static final Instant START = Instant.ofEpochSecond(1_000_000);
   private static final Duration LEASE = Duration.ofSeconds(4);
@@ -32,7 +32,7 @@
       new TrackedEndpoints(
           new TrackedEndpoints.Listener() {
             @Override
-            public void changed(EndpointRecord record, String cause) {
+            public void changed(EndpointRecord record, String reporter) {
               changes.add(record.id() + " " + record.state());
             }
 
@@ -55,7 +55,7 @@
     endpoints.update(new FleetMessage.RosterUpdate("control", 0, complete, List.of(records)), now);
   }
 
-  static Stream<Arguments> ends() {
+  static Stream<Arguments> nextRecords() {
     return Stream.of(
         Arguments.of(record("e", 1, EndpointState.LOST, 1), List.of("e@1")),
         Arguments.of(record("e", 2, EndpointState.READY, 1), List.of("e@1")),
@@ -66,7 +66,7 @@
   }
 
   @ParameterizedTest
-  @MethodSource("ends")
+  @MethodSource("nextRecords")
   void reportsLostIncarnations(EndpointRecord next, List<String> expected) {
     sendRoster(false, START, record("e", 1, EndpointState.READY, 1));
     sendRoster(false, START, next, next);
@@ -84,14 +84,14 @@
   }
 
   /**
-   * Endpoints start and end for ten minutes, each under a new id, while a control instance sends
-   * each change to the entry at once, and the complete roster whenever their digests differ. The
-   * control instance removes an endpoint 90 s after its loss. Guards against an entry that keeps
-   * it: with 600 records instead of 91, the digests would differ permanently and the complete
-   * roster would be sent again and again.
+   * Endpoints start and are lost or shut down for ten minutes, each under a new id, while a control
+   * instance sends each change to the entry immediately, and the complete roster whenever their
+   * digests differ. The control instance removes an endpoint 90 s after its last announcement.
+   * Guards against an entry that retains it: with 600 records instead of 91, the digests would
+   * differ permanently and the complete roster would be sent repeatedly.
    */
   @ParameterizedTest
-  @MethodSource("departures")
+  @MethodSource("finalStates")
   void removesEndpointsThatControlInstanceRemoved(EndpointState finalState) {
     EndpointRoster control = new EndpointRoster();
     int lateCompleteRosters = 0;
@@ -114,13 +114,13 @@
       }
     }
     assertThat("complete rosters sent after the last change", lateCompleteRosters, is(0));
-    assertThat("records kept", endpoints.size(), is(control.size()));
-    assertThat("trackers kept", endpoints.trackers(), hasSize(0));
+    assertThat("records retained", endpoints.size(), is(control.size()));
+    assertThat("trackers retained", endpoints.trackers(), hasSize(0));
   }
 
   /**
-   * A restarted control instance does not know the endpoints that cannot reach it, while the
-   * entries continue to send to them.
+   * A restarted control instance has no records of endpoints that cannot connect to it, while the
+   * entries continue to send requests to them.
    */
   @Test
   void removedEndpointKeepsAdvertisedRate() {
@@ -166,7 +166,7 @@
     sendRoster(false, now, record);
   }
 
-  static Stream<EndpointState> departures() {
+  static Stream<EndpointState> finalStates() {
     return Stream.of(EndpointState.LOST, EndpointState.GONE);
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/UnresponsiveEndpointTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/UnresponsiveEndpointTest.java
@@ -17,9 +17,9 @@
 import org.lacewingcroft.placement.EndpointTracker.Outcome;
 
 /**
- * When an endpoint is suspect after its last request ended without a byte of a response. Guards
- * against an unresponsive endpoint that looks idle again, and so gets all new requests, once its
- * requests have been cancelled.
+ * Tests when an endpoint is suspect after its last request ended without a byte of a response.
+ * Guards against an unresponsive endpoint that looks idle again, and so receives all new requests,
+ * once its requests have been cancelled.
  */
 class UnresponsiveEndpointTest {
   private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/quarantine/QuarantineTrialsTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/quarantine/QuarantineTrialsTest.java
@@ -21,6 +21,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.lacewingcroft.request.RequestFingerprint;
 
+/** Tests when a quarantined content is run as a trial, and by which entry. */
 class QuarantineTrialsTest {
   private static final Instant NOW = Instant.ofEpochSecond(1_000_000);
   private static final RequestFingerprint CONTENT = new RequestFingerprint(7);
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/quarantine/SuspicionLedgerTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/quarantine/SuspicionLedgerTest.java
@@ -24,6 +24,7 @@
 import org.lacewingcroft.quarantine.UnansweredRuns.Kind;
 import org.lacewingcroft.request.RequestFingerprint;
 
+/** Tests which evidence quarantines a content, and how instances merge and expire it. */
 class SuspicionLedgerTest {
   private static final Instant NOW = Instant.ofEpochSecond(1_000_000);
   private static final RequestFingerprint CONTENT = new RequestFingerprint(7);
@@ -73,11 +74,11 @@
     assertThat(ledger.quarantined(NOW), hasSize(quarantined ? 1 : 0));
   }
 
-  /** Endpoints that crash at once have a common cause, independent of what they were running. */
+  /** Simultaneous crashes have a common cause, independent of what the endpoints were running. */
   static Stream<Arguments> crashTimings() {
     Duration window = Duration.ofMillis(100);
     return Stream.of(
-        Arguments.of("at once", Duration.ZERO, false, 8, false),
+        Arguments.of("simultaneously", Duration.ZERO, false, 8, false),
         Arguments.of(
             "within the propagation time of updates", window.dividedBy(8), false, 8, false),
         Arguments.of("one after the other", window.plusMillis(1), false, 3, true),
@@ -282,9 +283,11 @@
     Duration second = Duration.ofSeconds(1);
     return Stream.of(
         Arguments.of("no response since before", second.negated(), second, true),
-        Arguments.of("responded to others a moment longer", second.dividedBy(2), second, true),
+        Arguments.of(
+            "responded to others for half a second more", second.dividedBy(2), second, true),
         Arguments.of("continued to respond", second.multipliedBy(2), second.multipliedBy(3), false),
-        Arguments.of("crashed long after", second.negated(), UnansweredRuns.RETENTION, false));
+        Arguments.of(
+            "crashed after the retention time", second.negated(), UnansweredRuns.RETENTION, false));
   }
 
   @ParameterizedTest(name = "{0}")
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/stream/EventSplitterTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/stream/EventSplitterTest.java
@@ -9,9 +9,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
+/** Tests which bytes of a stream are forwarded, whatever the chunks in which they arrive. */
 class EventSplitterTest {
-  private static final String ONE = "id: 1\ndata: a\n\n";
-  private static final String TWO = "id: 2\r\ndata: b\r\n\r\n";
+  private static final String FIRST_EVENT = "id: 1\ndata: a\n\n";
+  private static final String SECOND_EVENT = "id: 2\r\ndata: b\r\n\r\n";
 
   /**
    * A test case: the id of the last event already forwarded, the bytes, and the expected forwarded
@@ -21,11 +22,16 @@
 
   static Stream<Row> rows() {
     return Stream.of(
-        new Row(-1, ONE + TWO, ONE + TWO, 2, ""),
-        new Row(-1, ONE + "id: 2\nda", ONE, 1, "id: 2\nda"),
-        new Row(1, ONE + TWO, TWO, 2, ""),
+        new Row(-1, FIRST_EVENT + SECOND_EVENT, FIRST_EVENT + SECOND_EVENT, 2, ""),
+        new Row(-1, FIRST_EVENT + "id: 2\nda", FIRST_EVENT, 1, "id: 2\nda"),
+        new Row(1, FIRST_EVENT + SECOND_EVENT, SECOND_EVENT, 2, ""),
         new Row(-1, "data: plain\n\n", "data: plain\n\n", -1, ""),
-        new Row(-1, "x-weight-versions: 3\n" + ONE, "x-weight-versions: 3\n" + ONE, 1, ""));
+        new Row(
+            -1,
+            "x-weight-versions: 3\n" + FIRST_EVENT,
+            "x-weight-versions: 3\n" + FIRST_EVENT,
+            1,
+            ""));
   }
 
   @ParameterizedTest
