--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/KeepAlivePolicyTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/KeepAlivePolicyTest.java
@@ -43,14 +43,14 @@
     List<Reset> atTwoOthers = List.of(new Reset("b", 300), new Reset("c", 300));
     return Stream.of(
         new Row("no timeout advertised", List.of(), 0, 0, 4_000),
-        new Row("advertised timeout minus the margin", List.of(), 10, 0, 9_000),
+        new Row("stated", List.of(), 10, 0, 9_000),
         new Row("short advertised timeout", List.of(), 1, 0, 400),
         new Row("early close at this endpoint", atA, 10, 100, 200),
         new Row("early close at one other endpoint", atAnother, 10, 100, 9_000),
         new Row("early closes at two other endpoints", atTwoOthers, 10, 100, 200),
         new Row(
             "reset of a recently used connection", List.of(new Reset("a", 100)), 10, 100, 9_000),
-        new Row("reset expired", atA, 10, 20_000, 9_000));
+        new Row("forgotten", atA, 10, 20_000, 9_000));
   }
 
   @ParameterizedTest
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/quarantine/SuspicionLedgerTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/quarantine/SuspicionLedgerTest.java
@@ -78,7 +78,7 @@
   static Stream<Arguments> crashTimings() {
     Duration window = Duration.ofMillis(100);
     return Stream.of(
-        Arguments.of("simultaneously", Duration.ZERO, false, 8, false),
+        Arguments.of("all simultaneous", Duration.ZERO, false, 8, false),
         Arguments.of(
             "within the propagation time of updates", window.dividedBy(8), false, 8, false),
         Arguments.of("one after the other", window.plusMillis(1), false, 3, true),
