--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/KeepAlivePolicyTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/KeepAlivePolicyTest.java
@@ -12,7 +12,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * How long a connection to the endpoint "a" may be idle, after resets at it and at other endpoints.
+ * Tests how long a connection to the endpoint "a" may be idle, after resets at it and at other
+ * endpoints.
  */
 class KeepAlivePolicyTest {
   private static final Instant START = Instant.parse("2030-01-01T00:00:00Z");
@@ -54,7 +55,7 @@
 
   @ParameterizedTest
   @MethodSource("rows")
-  void matchesEndpointTimeout(Row row) {
+  void returnsIdleTimeout(Row row) {
     KeepAlivePolicy policy = new KeepAlivePolicy();
     row.resets()
         .forEach(r -> policy.recordReset(r.address(), Duration.ofMillis(r.idleMillis()), START));
