--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/ApplyCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/ApplyCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Option;
 
 /**
- * Applies a selectors document through a control instance. The change id makes a resend idempotent,
+ * Applies a selectors document through a control daemon. The change id makes a resend idempotent,
  * and the expected version makes the second of two concurrent changes fail.
  */
 @Command(name = "apply", description = "Apply a selectors document through a control daemon.")
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/ConfigBenchCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/ConfigBenchCommand.java
@@ -9,8 +9,8 @@
 
 /**
  * Applies configuration changes to a local deployment while faults are injected. Prints one JSON
- * line and exits with status 1 if an accepted change was lost or a daemon reverted to an older
- * version.
+ * line and exits with status 1 if an accepted change was lost, a daemon reverted to an older
+ * version, a resend returned another version, or the daemons have different documents.
  */
 @Command(
     name = "config",
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/LoadBenchCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/LoadBenchCommand.java
@@ -51,7 +51,7 @@
       for (int round = 0; round < warmUps; round++) {
         replayer.replay(
             TraceRequest.scaled(base, copies, speedups.get(speedups.size() - 1)),
-            result -> entries.get(result.region() + "-entry-1"));
+            request -> entries.get(request.region() + "-entry-1"));
       }
       long idleStartCpuNanos = deployment.cpuNanos(n -> n.contains("-entry-"));
       long idleStartNanos = System.nanoTime();
@@ -64,7 +64,8 @@
         List<TraceRequest> trace = TraceRequest.scaled(base, copies, speedup);
         long startCpuNanos = deployment.cpuNanos(n -> n.contains("-entry-"));
         long startNanos = System.nanoTime();
-        ReplayResult result = replayer.replay(trace, t -> entries.get(t.region() + "-entry-1"));
+        ReplayResult result =
+            replayer.replay(trace, request -> entries.get(request.region() + "-entry-1"));
         double wallSeconds = (System.nanoTime() - startNanos) / 1e9;
         long cpuNanos = deployment.cpuNanos(n -> n.contains("-entry-")) - startCpuNanos;
         long tokens = trace.stream().mapToLong(TraceRequest::maxTokens).sum();
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/LogLine.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/LogLine.java
@@ -6,8 +6,8 @@
 /**
  * A line of the log of an instance.
  *
- * @param timestamp the timestamp of the hybrid logical clock: milliseconds since the epoch, a point
- *     and a counter
+ * @param timestamp the timestamp of the hybrid logical clock: milliseconds since the epoch and a
+ *     counter, separated by a dot
  * @param node the instance that wrote it
  * @param event the name of the event, such as {@code request.placed}
  * @param fields all fields of the line
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/RequestOutcome.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/RequestOutcome.java
@@ -31,7 +31,7 @@
     SERVED,
     /** The request was rejected and has not run. */
     REFUSED,
-    /** The response was not completed or was an error, and the request may have run. */
+    /** Any other outcome: the response was an error or was not completed. */
     FAILED,
     /** The caller disconnected before the response was complete. */
     LEFT
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/RequestOutcomes.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/RequestOutcomes.java
@@ -69,7 +69,7 @@
         finished.node(),
         result,
         result == Result.SERVED ? "" : cause(finished, attempts),
-        lastWithEvent(attempts, PLACED).map(t -> t.text("target")).orElse(""),
+        lastWithEvent(attempts, PLACED).map(line -> line.text("target")).orElse(""),
         finished.millis() - finished.number("millis", 0),
         finished.number("firstByteMillis", -1),
         finished.number("millis", 0));
@@ -91,16 +91,18 @@
   private static String cause(LogLine finished, List<LogLine> attempts) {
     String outcome =
         finished.text("outcome").equals(SERVED)
-            ? "answered " + finished.text("status")
+            ? "status " + finished.text("status")
             : finished.text("outcome");
     boolean streamed = finished.number("lastEvent", -1) >= 0;
     String phase = streamed ? ", in the middle of its response" : "";
     return lastWithEvent(attempts, ATTEMPT_FAILED)
-        .map(t -> outcome + phase + ", after a failed attempt: " + t.text("what"))
+        .map(line -> outcome + phase + ", after a failed attempt: " + line.text("what"))
         .orElse(outcome + phase);
   }
 
   private static Optional<LogLine> lastWithEvent(List<LogLine> attempts, String event) {
-    return attempts.stream().filter(t -> t.event().equals(event)).reduce((earlier, later) -> later);
+    return attempts.stream()
+        .filter(line -> line.event().equals(event))
+        .reduce((earlier, later) -> later);
   }
 }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/TimelineFilter.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/TimelineFilter.java
@@ -24,9 +24,10 @@
   }
 
   /**
-   * Returns the lines of a request at every instance, and the endpoint and routing updates that
-   * those instances applied and that concern its targets, from {@value #UPDATE_LOOKBACK_MILLIS} ms
-   * before its first line to its last.
+   * Returns the lines of a request at every instance. Includes the routing updates that those
+   * instances applied, and their updates of the endpoints that the request was sent to or that it
+   * fetched KV cache from, from {@value #UPDATE_LOOKBACK_MILLIS} ms before the first line of the
+   * request to its last.
    */
   public List<LogLine> ofRequest(String id) {
     List<LogLine> requestLines = lines.stream().filter(l -> l.text("request").equals(id)).toList();
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/cli/LogCommandsTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/cli/LogCommandsTest.java
@@ -21,7 +21,7 @@
 import org.lacewingcroft.logs.SampleLog;
 import picocli.CommandLine;
 
-/** Tests the commands that read logs through the command line. */
+/** Tests the log commands by running them through the command line. */
 class LogCommandsTest {
   private static final int USAGE_ERROR_STATUS = 2;
 
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/TimelineFilterTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/TimelineFilterTest.java
@@ -31,7 +31,7 @@
   static Stream<Arguments> selections() {
     return Stream.of(
         selection(
-            "a request, with the updates that its entry received",
+            "a request, with the updates that its entry applied",
             f -> f.ofRequest("r-1"),
             1,
             3,
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ConfigBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ConfigBench.java
@@ -59,8 +59,10 @@
       boolean faults,
       long seed) {}
 
+  /** An accepted change, with the times of its first send and of the response that accepted it. */
   private record Accepted(String changeId, long version, long sentNanos, long ackedNanos) {}
 
+  /** A period in which a daemon was affected by a fault or recovered from it. */
   private record Disturbance(long fromNanos, long untilNanos) {}
 
   private enum Fault {
@@ -82,7 +84,8 @@
    * Runs the benchmark.
    *
    * @param workDir the directory for logs and data
-   * @return whether no accepted change was lost or reverted, and all daemons have the same document
+   * @return whether no accepted change was lost or reverted, every resend returned the version of
+   *     its change, and all daemons have the same document
    * @throws Exception if the deployment does not start
    */
   public boolean run(Path workDir) throws Exception {
@@ -219,7 +222,7 @@
 
   /** Sends two conflicting changes based on one version and returns the newest accepted version. */
   private long race(int i, long expected) throws Exception {
-    CompletableFuture<Optional<Long>> rivalChange =
+    CompletableFuture<Optional<Long>> concurrentChange =
         CompletableFuture.supplyAsync(
             () -> {
               try {
@@ -229,13 +232,13 @@
               }
             });
     Optional<Long> ownVersion = sendUntilFinal("change-" + i, expected);
-    Optional<Long> rivalVersion = rivalChange.get(120, TimeUnit.SECONDS);
-    if (ownVersion.isPresent() && rivalVersion.isPresent()) {
+    Optional<Long> concurrentVersion = concurrentChange.get(120, TimeUnit.SECONDS);
+    if (ownVersion.isPresent() && concurrentVersion.isPresent()) {
       throw new IllegalStateException(
           "both concurrent changes of version " + expected + " were accepted");
     }
-    return ownVersion.or(() -> rivalVersion).isPresent()
-        ? ownVersion.or(() -> rivalVersion).get()
+    return ownVersion.or(() -> concurrentVersion).isPresent()
+        ? ownVersion.or(() -> concurrentVersion).get()
         : applyUntilAccepted("after-race-" + i, highestVersion());
   }
 
@@ -303,7 +306,7 @@
         deployment.resume(control);
         recordDisturbance(control, fromNanos);
       }
-      case CUT_REGION -> cutRegion(DemoDeployment.REGIONS.get(random.nextInt(3)), fromNanos);
+      case CUT_REGION -> partitionRegion(DemoDeployment.REGIONS.get(random.nextInt(3)), fromNanos);
       default -> {
         deployment.kill(control);
         deployment.loseDisk(control);
@@ -325,7 +328,7 @@
     recordDisturbance(node, fromNanos);
   }
 
-  private void cutRegion(String region, long fromNanos) throws Exception {
+  private void partitionRegion(String region, long fromNanos) throws Exception {
     Map<String, String> regions = deployment.regionsByNode();
     for (Map.Entry<String, String> node : regions.entrySet()) {
       Set<String> cutRegions =
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/LocalDeployment.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/LocalDeployment.java
@@ -39,7 +39,7 @@
   private final Map<String, List<String>> restartArgs = new LinkedHashMap<>();
   private final Map<String, String> entryUrlByNode = new LinkedHashMap<>();
   private final Map<String, String> entryRegionByNode = new LinkedHashMap<>();
-  private final List<String> controlPeers = new ArrayList<>();
+  private final List<String> controlPeerAddresses = new ArrayList<>();
   private final Map<String, List<String>> standinUrls = new LinkedHashMap<>();
   private final DaemonClient client = new DaemonClient();
 
@@ -189,7 +189,7 @@
     JsonNode ports = startDaemon(node, args, List.of("--bootstrap"));
     controlUrlByNode.put(node, "http://127.0.0.1:" + ports.get("http").asInt());
     controlRegionByNode.put(node, region);
-    controlPeers.add("127.0.0.1:" + ports.get("peer").asInt());
+    controlPeerAddresses.add("127.0.0.1:" + ports.get("peer").asInt());
   }
 
   private void startEntry(String node, String region, String failureDomain) throws Exception {
@@ -209,14 +209,14 @@
   }
 
   /** Starts a daemon on free ports. A restart reuses the ports and omits the first-start flags. */
-  private JsonNode startDaemon(String node, List<String> args, List<String> firstStartArgs)
+  private JsonNode startDaemon(String node, List<String> args, List<String> firstStartFlags)
       throws Exception {
     Path portFile = workDir.resolve(node + ".ports");
     List<String> argsOfFirstStart = new ArrayList<>(args);
-    argsOfFirstStart.addAll(firstStartArgs);
+    argsOfFirstStart.addAll(firstStartFlags);
     argsOfFirstStart.addAll(List.of("--port-file", portFile.toString()));
-    if (!controlPeers.isEmpty()) {
-      argsOfFirstStart.addAll(List.of("--peers", String.join(",", controlPeers)));
+    if (!controlPeerAddresses.isEmpty()) {
+      argsOfFirstStart.addAll(List.of("--peers", String.join(",", controlPeerAddresses)));
     }
     launch(node, DAEMON_MAIN, argsOfFirstStart);
     JsonNode ports = awaitPorts(node);
@@ -296,7 +296,7 @@
   public void restart(String name) throws Exception {
     List<String> args = new ArrayList<>(restartArgs.get(name));
     if (!standinUrls.containsKey(name)) {
-      args.addAll(List.of("--peers", String.join(",", controlPeers)));
+      args.addAll(List.of("--peers", String.join(",", controlPeerAddresses)));
     }
     startProcess(processes.get(name), args);
     JsonNode ports = awaitPorts(name);
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/OrderBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/OrderBench.java
@@ -35,12 +35,12 @@
   public boolean run(Path workDir) throws Exception {
     try (LocalDeployment deployment = LocalDeployment.start(DemoDeployment.topology(), workDir)) {
       List<String> entries = List.of(REGION + "-entry-1", REGION + "-entry-2");
-      List<String> desks =
+      List<String> deskRunners =
           deployment.standins().entrySet().stream()
               .filter(group -> group.getKey().startsWith("desk-"))
               .flatMap(group -> group.getValue().stream())
               .toList();
-      OrderLoad load = new OrderLoad(deployment, entries, desks, "bench");
+      OrderLoad load = new OrderLoad(deployment, entries, deskRunners, "bench");
       final CompletableFuture<Void> sending = load.start();
       int faults = injectFaults(deployment, entries);
       load.finish(sending);
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ReplayedResponse.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ReplayedResponse.java
@@ -68,7 +68,7 @@
   /**
    * Records the outcome at the end of the response.
    *
-   * @param servedIn the region that served the request, if the response states it
+   * @param servedIn the region that served the request, if the response contains it
    */
   void onEnd(int status, Optional<String> servedIn) {
     if (status != 200) {
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
@@ -252,13 +252,13 @@
       long bytes = transports.stream().mapToLong(PeerTransport::bytesSent).sum() - startBytes;
       long cpuNanos = processCpuNanos() - startCpuNanos;
       double wallSeconds = wallNanos / 1e9;
-      double knownAverage =
+      double averageTableSize =
           members.stream().mapToInt(m -> m.table().all().size()).average().orElse(0);
       ObjectNode line = JSON.createObjectNode();
       line.put("bench", "membership");
       line.put("members", n);
       line.put("intervalMillis", interval.toMillis());
-      line.put("knownPerMemberAverage", knownAverage);
+      line.put("knownPerMemberAverage", averageTableSize);
       line.put("bytesPerSecondPerMember", bytes / wallSeconds / n);
       long[] sortedBytes =
           transports.stream().mapToLong(PeerTransport::bytesSent).sorted().toArray();
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/Main.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/Main.java
@@ -68,16 +68,22 @@
       description = "lease renewal interval")
   long announceMillis;
 
-  @Option(names = "--report-lag-millis", defaultValue = "2000", description = "load report lag")
+  @Option(
+      names = "--report-lag-millis",
+      defaultValue = "2000",
+      description = "age of the reported load and cache events")
   long reportLagMillis;
 
   @Option(
       names = "--checks-fencing",
       defaultValue = "false",
-      description = "refuse outdated tokens")
+      description = "refuse orders with outdated fencing tokens")
   boolean checksFencing;
 
-  @Option(names = "--prefix-cache", defaultValue = "64", description = "cached prefixes")
+  @Option(
+      names = "--prefix-cache",
+      defaultValue = "64",
+      description = "maximum number of cached prefixes")
   int prefixCache;
 
   @Option(names = "--port-file", description = "file for the runner URLs as a JSON array")
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/StandinRunner.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/StandinRunner.java
@@ -219,7 +219,7 @@
                   .setConnectTimeout(1_000)
                   .setIdleTimeout(2_000))
           .compose(r -> r.send(payload))
-          .onFailure(e -> {});
+          .onFailure(e -> {}); // Not retried; the next announcement follows after the interval.
     }
   }
 
--- a/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/DeploymentEndToEndTest.java
+++ b/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/DeploymentEndToEndTest.java
@@ -97,12 +97,12 @@
         }
       }
     }
-    List<String> desks =
+    List<String> deskRunners =
         deployment.standins().entrySet().stream()
             .filter(group -> group.getKey().startsWith("desk-"))
             .flatMap(group -> group.getValue().stream())
             .toList();
-    Map<String, Integer> runs = runsByKey(desks);
+    Map<String, Integer> runs = runsByKey(deskRunners);
     assertThat(runs.values(), everyItem(lessThanOrEqualTo(1)));
     assertThat(runs.size(), is(ORDER_COUNT));
     for (List<String> numbers : orderNumbers.values()) {
--- a/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/FaultEndToEndTest.java
+++ b/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/FaultEndToEndTest.java
@@ -111,7 +111,7 @@
     assertThat(result.corrupted, is(0));
   }
 
-  /** A fault of an entry, which owns the keys of some orders, while orders are sent. */
+  /** A fault injected, while orders are sent, into an entry that owns the keys of some of them. */
   private enum EntryFault {
     KILLED,
     KILLED_TWICE,
@@ -128,7 +128,7 @@
   @MethodSource("entryFaults")
   void ordersRunAtMostOnceWhenAnEntryIs(EntryFault fault) throws Exception {
     List<String> entries = List.of(HOME_REGION + "-entry-1", HOME_REGION + "-entry-2");
-    final OrderLoad load = new OrderLoad(deployment, entries, desks(), fault.name());
+    final OrderLoad load = new OrderLoad(deployment, entries, deskRunners(), fault.name());
     CompletableFuture<Void> sending = load.start();
     inject(entries.get(0), fault);
     load.finish(sending);
@@ -141,8 +141,8 @@
     deployment.awaitEndpoints(entries.get(0));
   }
 
-  /** Returns the runners of all regions, because orders may be relayed to other regions. */
-  private List<String> desks() {
+  /** Returns the runner URLs of all regions, because orders may be relayed to other regions. */
+  private List<String> deskRunners() {
     return deployment.standins().entrySet().stream()
         .filter(group -> group.getKey().startsWith("desk-"))
         .flatMap(group -> group.getValue().stream())
@@ -229,7 +229,7 @@
     final long startNanos = System.nanoTime();
     for (String entry : List.of(OTHER_REGION + "-entry-1", OTHER_REGION + "-entry-2")) {
       LocalDeployment.awaitCondition(
-          entry + " sends no new requests to " + writers,
+          entry + " reports every endpoint of " + writers + " as draining",
           () -> unchecked(() -> reportsAllDraining(entry)));
     }
     long millis = (System.nanoTime() - startNanos) / 1_000_000;
