--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/ConfigBenchCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/ConfigBenchCommand.java
@@ -28,7 +28,7 @@
       description = "one-way delay between regions")
   long delayMillis;
 
-  @Option(names = "--interval-millis", defaultValue = "250", description = "pause after a change")
+  @Option(names = "--interval-millis", defaultValue = "250", description = "wait after a change")
   long intervalMillis;
 
   @Option(names = "--no-faults", description = "inject no faults")
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/DemoCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/DemoCommand.java
@@ -32,7 +32,7 @@
     try (LocalDeployment deployment = LocalDeployment.start(DemoDeployment.topology(), dir)) {
       Map<String, String> entryByRegion = new java.util.HashMap<>();
       try (BlockingHttpClient http = new BlockingHttpClient()) {
-        String anyDaemon = deployment.entries().values().iterator().next();
+        String anyDaemon = deployment.entryUrls().values().iterator().next();
         for (String region : DemoDeployment.REGIONS) {
           entryByRegion.put(
               region,
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/LoadBenchCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/LoadBenchCommand.java
@@ -47,7 +47,7 @@
             LocalDeployment.start(
                 DemoDeployment.topology(), Files.createTempDirectory("lacewingcroft-load"));
         TraceReplayer replayer = new TraceReplayer()) {
-      Map<String, String> entries = deployment.entries();
+      Map<String, String> entries = deployment.entryUrls();
       for (int round = 0; round < warmUps; round++) {
         replayer.replay(
             TraceRequest.scaled(base, copies, speedups.get(speedups.size() - 1)),
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/OverheadBenchCommand.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/cli/OverheadBenchCommand.java
@@ -27,8 +27,8 @@
     List<TraceRequest> trace = DemoDeployment.trace();
     try (LocalDeployment deployment = LocalDeployment.start(DemoDeployment.topology(), dir);
         TraceReplayer replayer = new TraceReplayer()) {
-      Map<String, String> entries = deployment.entries();
-      Map<String, List<String>> standins = deployment.standins();
+      Map<String, String> entries = deployment.entryUrls();
+      Map<String, List<String>> standins = deployment.standinUrlsByGroup();
       ReplayResult warmUp = replayer.replay(trace, r -> entries.get(r.region() + "-entry-1"));
       ReplayResult viaGateway = replayer.replay(trace, r -> entries.get(r.region() + "-entry-1"));
       ReplayResult direct =
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ConfigBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ConfigBench.java
@@ -47,7 +47,7 @@
    * @param changes the number of changes to apply
    * @param controls the number of control daemons, 3 or 5
    * @param delayMillis the injected one-way delay between regions, in milliseconds
-   * @param intervalMillis the pause between changes, in milliseconds
+   * @param intervalMillis the time to wait after each change, in milliseconds
    * @param faults whether faults are injected
    * @param seed the seed of the random choices of faults and control daemons
    */
@@ -100,7 +100,7 @@
     try (LocalDeployment started = LocalDeployment.start(topology, workDir)) {
       deployment = started;
       List<String> nodes = new ArrayList<>(started.controlNodes());
-      nodes.addAll(started.entries().keySet());
+      nodes.addAll(started.entryUrls().keySet());
       nodes.forEach(n -> disturbances.put(n, new ArrayList<>()));
       for (String node : nodes) {
         started.injectFaults(node, Set.of(), options.delayMillis());
@@ -146,7 +146,7 @@
   }
 
   private String anyControl() {
-    List<String> urls = deployment.controls();
+    List<String> urls = deployment.controlUrls();
     return urls.get(random.nextInt(urls.size()));
   }
 
@@ -183,7 +183,7 @@
   }
 
   private long highestVersion() {
-    return deployment.controls().stream()
+    return deployment.controlUrls().stream()
         .mapToLong(deployment.client()::configVersion)
         .max()
         .orElse(0);
@@ -293,7 +293,7 @@
 
   private void inject(Fault fault) throws Exception {
     List<String> controls = deployment.controlNodes();
-    List<String> entries = new ArrayList<>(deployment.entries().keySet());
+    List<String> entries = new ArrayList<>(deployment.entryUrls().keySet());
     String control = controls.get(random.nextInt(controls.size()));
     final String entry = entries.get(random.nextInt(entries.size()));
     final long fromNanos = System.nanoTime();
@@ -301,7 +301,7 @@
       case KILL_CONTROL -> killFor(control, 700);
       case KILL_ENTRY -> killFor(entry, 300);
       case FREEZE_CONTROL -> {
-        deployment.pause(control);
+        deployment.freeze(control);
         sleepUninterrupted(2_500);
         deployment.resume(control);
         recordDisturbance(control, fromNanos);
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/LocalDeployment.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/LocalDeployment.java
@@ -306,7 +306,7 @@
   }
 
   /** Freezes a process (SIGSTOP) until {@link #resume}. */
-  public void pause(String name) throws Exception {
+  public void freeze(String name) throws Exception {
     processes.get(name).signal("STOP");
   }
 
@@ -402,7 +402,7 @@
   }
 
   /** Returns the base URLs of the entries by node id. */
-  public Map<String, String> entries() {
+  public Map<String, String> entryUrls() {
     return Map.copyOf(entryUrlByNode);
   }
 
@@ -419,7 +419,7 @@
   }
 
   /** Returns the base URLs of the control daemons. */
-  public List<String> controls() {
+  public List<String> controlUrls() {
     return List.copyOf(controlUrlByNode.values());
   }
 
@@ -429,7 +429,7 @@
   }
 
   /** Returns the base URLs of the stand-in runners by id prefix of their group. */
-  public Map<String, List<String>> standins() {
+  public Map<String, List<String>> standinUrlsByGroup() {
     return Map.copyOf(standinUrls);
   }
 
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/OrderBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/OrderBench.java
@@ -36,7 +36,7 @@
     try (LocalDeployment deployment = LocalDeployment.start(DemoDeployment.topology(), workDir)) {
       List<String> entries = List.of(REGION + "-entry-1", REGION + "-entry-2");
       List<String> deskRunners =
-          deployment.standins().entrySet().stream()
+          deployment.standinUrlsByGroup().entrySet().stream()
               .filter(group -> group.getKey().startsWith("desk-"))
               .flatMap(group -> group.getValue().stream())
               .toList();
@@ -71,7 +71,7 @@
           deployment.restart(entry);
         }
         case 1 -> {
-          deployment.pause(entry);
+          deployment.freeze(entry);
           OrderLoad.sleep(FREEZE_MILLIS);
           deployment.resume(entry);
         }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/OrderLoad.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/OrderLoad.java
@@ -38,7 +38,7 @@
   private final LocalDeployment deployment;
   private final List<String> entries;
   private final List<String> runners;
-  private final String name;
+  private final String keyPrefix;
   private final AtomicBoolean stopping = new AtomicBoolean();
   private final AtomicInteger nextOrder = new AtomicInteger();
   private final Map<String, Set<String>> ordersByKey = new ConcurrentHashMap<>();
@@ -64,14 +64,14 @@
    * @param deployment the deployment that receives the orders
    * @param entries the node ids of the entries that the orders are sent to
    * @param runners the base URLs of the runners of the stand-in service
-   * @param name the prefix of the idempotency keys of this load
+   * @param keyPrefix the prefix of the idempotency keys of this load
    */
   public OrderLoad(
-      LocalDeployment deployment, List<String> entries, List<String> runners, String name) {
+      LocalDeployment deployment, List<String> entries, List<String> runners, String keyPrefix) {
     this.deployment = deployment;
     this.entries = List.copyOf(entries);
     this.runners = List.copyOf(runners);
-    this.name = name;
+    this.keyPrefix = keyPrefix;
   }
 
   /** Starts the callers, which send orders until {@link #finish} is called. */
@@ -95,7 +95,7 @@
   private void sendUntilStopped() {
     while (!stopping.get()) {
       int orderNumber = nextOrder.getAndIncrement();
-      String key = name + "-" + orderNumber;
+      String key = keyPrefix + "-" + orderNumber;
       CompletableFuture<Void> duplicate =
           CompletableFuture.runAsync(() -> sendUntilFinal(key, orderNumber + 1), callers);
       sendUntilFinal(key, orderNumber);
@@ -172,7 +172,7 @@
           .fields()
           .forEachRemaining(f -> all.merge(f.getKey(), f.getValue().asInt(), Integer::sum));
     }
-    all.keySet().removeIf(k -> !k.startsWith(name + "-"));
+    all.keySet().removeIf(k -> !k.startsWith(keyPrefix + "-"));
     return all;
   }
 
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/StandinRunner.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/StandinRunner.java
@@ -43,6 +43,7 @@
   private final AtomicLong highestFencingToken = new AtomicLong();
   private final Map<String, AtomicInteger> runsByKey = new ConcurrentHashMap<>();
   private final AtomicLong runs = new AtomicLong();
+  // Starts at the current time so that the numbers also increase across restarts of the runner.
   private final AtomicLong announcementSequence = new AtomicLong(System.currentTimeMillis());
   private final Deque<long[]> loadHistory = new ArrayDeque<>();
   private final AdvertisedConditions conditions = new AdvertisedConditions();
--- a/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/DeploymentEndToEndTest.java
+++ b/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/DeploymentEndToEndTest.java
@@ -56,7 +56,7 @@
     List<TraceRequest> trace = DemoDeployment.trace();
     ReplayResult result;
     try (TraceReplayer replayer = new TraceReplayer()) {
-      Map<String, String> entries = deployment.entries();
+      Map<String, String> entries = deployment.entryUrls();
       result = replayer.replay(trace, r -> entries.get(r.region() + "-entry-1"));
     }
     assertThat(result.report("e2e"), result.outcome("served"), is(trace.size()));
@@ -71,8 +71,8 @@
    */
   @Test
   void runsEachNonIdempotentOrderAtMostOnce() throws Exception {
-    String first = deployment.entries().get("uusimaa-entry-1");
-    String second = deployment.entries().get("uusimaa-entry-2");
+    String first = deployment.entryUrls().get("uusimaa-entry-1");
+    String second = deployment.entryUrls().get("uusimaa-entry-2");
     Map<String, List<CompletableFuture<HttpResponse<String>>>> responses = new HashMap<>();
     for (int i = 0; i < ORDER_COUNT; i++) {
       String key = "order-" + i;
@@ -98,7 +98,7 @@
       }
     }
     List<String> deskRunners =
-        deployment.standins().entrySet().stream()
+        deployment.standinUrlsByGroup().entrySet().stream()
             .filter(group -> group.getKey().startsWith("desk-"))
             .flatMap(group -> group.getValue().stream())
             .toList();
--- a/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/FaultEndToEndTest.java
+++ b/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/FaultEndToEndTest.java
@@ -143,7 +143,7 @@
 
   /** Returns the runner URLs of all regions, because orders may be relayed to other regions. */
   private List<String> deskRunners() {
-    return deployment.standins().entrySet().stream()
+    return deployment.standinUrlsByGroup().entrySet().stream()
         .filter(group -> group.getKey().startsWith("desk-"))
         .flatMap(group -> group.getValue().stream())
         .toList();
@@ -171,7 +171,7 @@
   }
 
   private void freeze(String entry, long millis) throws Exception {
-    deployment.pause(entry);
+    deployment.freeze(entry);
     OrderLoad.sleep(millis);
     deployment.resume(entry);
   }
@@ -190,7 +190,7 @@
     deployment.terminate(process);
     deployment.restart(process);
     ReplayResult result = load.get();
-    for (String entry : deployment.entries().keySet()) {
+    for (String entry : deployment.entryUrls().keySet()) {
       deployment.awaitEndpoints(entry);
     }
     System.out.println("stopped " + process + ": " + result.outcomes);
