--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/RequestOutcomes.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/RequestOutcomes.java
@@ -91,7 +91,7 @@
   private static String cause(LogLine finished, List<LogLine> attempts) {
     String outcome =
         finished.text("outcome").equals(SERVED)
-            ? "status " + finished.text("status")
+            ? "answered " + finished.text("status")
             : finished.text("outcome");
     boolean streamed = finished.number("lastEvent", -1) >= 0;
     String phase = streamed ? ", in the middle of its response" : "";
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/ServiceReportTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/ServiceReportTest.java
@@ -20,7 +20,7 @@
     return Stream.of(
         Arguments.of("served", 200, true, Result.SERVED, ""),
         Arguments.of("served", 404, true, Result.SERVED, ""),
-        Arguments.of("served", 500, true, Result.FAILED, "status 500"),
+        Arguments.of("served", 500, true, Result.FAILED, "answered 500"),
         Arguments.of(
             "every endpoint is full", 503, false, Result.REFUSED, "every endpoint is full"),
         Arguments.of("every endpoint is full", 503, true, Result.FAILED, "every endpoint is full"),
--- a/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/FaultEndToEndTest.java
+++ b/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/FaultEndToEndTest.java
@@ -229,7 +229,7 @@
     final long startNanos = System.nanoTime();
     for (String entry : List.of(OTHER_REGION + "-entry-1", OTHER_REGION + "-entry-2")) {
       LocalDeployment.awaitCondition(
-          entry + " reports every endpoint of " + writers + " as draining",
+          entry + " reports draining for every endpoint of " + writers,
           () -> unchecked(() -> reportsAllDraining(entry)));
     }
     long millis = (System.nanoTime() - startNanos) / 1_000_000;
