--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ConfigBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ConfigBench.java
@@ -47,7 +47,7 @@
    * @param changes the number of changes to apply
    * @param controls the number of control daemons, 3 or 5
    * @param delayMillis the injected one-way delay between regions, in milliseconds
-   * @param intervalMillis the pause between changes, in milliseconds
+   * @param intervalMillis the time to wait after each change, in milliseconds
    * @param faults whether faults are injected
    * @param seed the seed of the random choices of faults and control daemons
    */
@@ -59,8 +59,10 @@
       boolean faults,
       long seed) {}
 
+  /** An accepted change, with the times of its first send and of the response that accepted it. */
   private record Accepted(String changeId, long version, long sentNanos, long ackedNanos) {}
 
+  /** A period in which a daemon was affected by a fault or recovered from it. */
   private record Disturbance(long fromNanos, long untilNanos) {}
 
   private enum Fault {
@@ -82,7 +84,8 @@
    * Runs the benchmark.
    *
    * @param workDir the directory for logs and data
-   * @return whether no accepted change was lost or reverted, and all daemons have the same document
+   * @return whether no accepted change was lost or reverted, every resend returned the version of
+   *     its change, and all daemons have the same document
    * @throws Exception if the deployment does not start
    */
   public boolean run(Path workDir) throws Exception {
@@ -97,7 +100,7 @@
     try (LocalDeployment started = LocalDeployment.start(topology, workDir)) {
       deployment = started;
       List<String> nodes = new ArrayList<>(started.controlNodes());
-      nodes.addAll(started.entries().keySet());
+      nodes.addAll(started.entryUrls().keySet());
       nodes.forEach(n -> disturbances.put(n, new ArrayList<>()));
       for (String node : nodes) {
         started.injectFaults(node, Set.of(), options.delayMillis());
@@ -143,7 +146,7 @@
   }
 
   private String anyControl() {
-    List<String> urls = deployment.controls();
+    List<String> urls = deployment.controlUrls();
     return urls.get(random.nextInt(urls.size()));
   }
 
@@ -180,7 +183,7 @@
   }
 
   private long highestVersion() {
-    return deployment.controls().stream()
+    return deployment.controlUrls().stream()
         .mapToLong(deployment.client()::configVersion)
         .max()
         .orElse(0);
@@ -219,7 +222,7 @@
 
   /** Sends two conflicting changes based on one version and returns the newest accepted version. */
   private long race(int i, long expected) throws Exception {
-    CompletableFuture<Optional<Long>> rivalChange =
+    CompletableFuture<Optional<Long>> concurrentChange =
         CompletableFuture.supplyAsync(
             () -> {
               try {
@@ -229,13 +232,13 @@
               }
             });
     Optional<Long> ownVersion = sendUntilFinal("change-" + i, expected);
-    Optional<Long> rivalVersion = rivalChange.get(120, TimeUnit.SECONDS);
-    if (ownVersion.isPresent() && rivalVersion.isPresent()) {
+    Optional<Long> concurrentVersion = concurrentChange.get(120, TimeUnit.SECONDS);
+    if (ownVersion.isPresent() && concurrentVersion.isPresent()) {
       throw new IllegalStateException(
           "both concurrent changes of version " + expected + " were accepted");
     }
-    return ownVersion.or(() -> rivalVersion).isPresent()
-        ? ownVersion.or(() -> rivalVersion).get()
+    return ownVersion.or(() -> concurrentVersion).isPresent()
+        ? ownVersion.or(() -> concurrentVersion).get()
         : applyUntilAccepted("after-race-" + i, highestVersion());
   }
 
@@ -290,7 +293,7 @@
 
   private void inject(Fault fault) throws Exception {
     List<String> controls = deployment.controlNodes();
-    List<String> entries = new ArrayList<>(deployment.entries().keySet());
+    List<String> entries = new ArrayList<>(deployment.entryUrls().keySet());
     String control = controls.get(random.nextInt(controls.size()));
     final String entry = entries.get(random.nextInt(entries.size()));
     final long fromNanos = System.nanoTime();
@@ -298,12 +301,12 @@
       case KILL_CONTROL -> killFor(control, 700);
       case KILL_ENTRY -> killFor(entry, 300);
       case FREEZE_CONTROL -> {
-        deployment.pause(control);
+        deployment.freeze(control);
         sleepUninterrupted(2_500);
         deployment.resume(control);
         recordDisturbance(control, fromNanos);
       }
-      case CUT_REGION -> cutRegion(DemoDeployment.REGIONS.get(random.nextInt(3)), fromNanos);
+      case CUT_REGION -> partitionRegion(DemoDeployment.REGIONS.get(random.nextInt(3)), fromNanos);
       default -> {
         deployment.kill(control);
         deployment.loseDisk(control);
@@ -325,7 +328,7 @@
     recordDisturbance(node, fromNanos);
   }
 
-  private void cutRegion(String region, long fromNanos) throws Exception {
+  private void partitionRegion(String region, long fromNanos) throws Exception {
     Map<String, String> regions = deployment.regionsByNode();
     for (Map.Entry<String, String> node : regions.entrySet()) {
       Set<String> cutRegions =
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/StandinRunner.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/StandinRunner.java
@@ -43,6 +43,7 @@
   private final AtomicLong highestFencingToken = new AtomicLong();
   private final Map<String, AtomicInteger> runsByKey = new ConcurrentHashMap<>();
   private final AtomicLong runs = new AtomicLong();
+  // Starts at the current time so that the numbers also increase across restarts of the runner.
   private final AtomicLong announcementSequence = new AtomicLong(System.currentTimeMillis());
   private final Deque<long[]> loadHistory = new ArrayDeque<>();
   private final AdvertisedConditions conditions = new AdvertisedConditions();
@@ -219,7 +220,7 @@
                   .setConnectTimeout(1_000)
                   .setIdleTimeout(2_000))
           .compose(r -> r.send(payload))
-          .onFailure(e -> {});
+          .onFailure(e -> {}); // Not retried; the next announcement follows after the interval.
     }
   }
 
