--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/daemon/Daemon.java
@@ -303,7 +303,7 @@
     transport.send(request.replyTo(), response);
   }
 
-  private void onPeerMessage(String stamp, PeerMessage message) {
+  private void onPeerMessage(String timestamp, PeerMessage message) {
     if (membership == null) {
       return;
     }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardContext.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardContext.java
@@ -25,7 +25,7 @@
  * @param connectionPool the connection pool for endpoints and other entries
  * @param headerNames the header names of the deployment
  * @param conditionsReader reads the conditions that endpoints advertise in their responses
- * @param hopAuthenticator marks and authenticates requests that are relayed to other entries
+ * @param hopAuthenticator signs and authenticates requests that are relayed to other entries
  * @param region the region of this entry
  * @param metrics the metrics
  * @param clock a monotonic clock
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/HeaderNames.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/HeaderNames.java
@@ -19,7 +19,7 @@
  * @param organisation the caller's organisation, sent to endpoints
  * @param rateLimit the requests per second that an endpoint accepts from all entries together
  * @param draining {@code 1} in the responses of an endpoint that is draining
- * @param reservedHeaders headers in lower case that only the gateway may set; dropped from callers'
+ * @param reservedHeaders headers in lower case that only entries may set; dropped from callers'
  *     requests
  */
 public record HeaderNames(
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/EntryGateway.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/EntryGateway.java
@@ -91,7 +91,7 @@
    * @param configs the store of the active configuration
    * @param endpoints the known endpoints
    * @param membership the daemon membership
-   * @param hopAuthenticator marks and authenticates requests relayed between entries
+   * @param hopAuthenticator signs and authenticates requests relayed between entries
    * @param limits the bounds of the request path
    * @param metrics the metrics to update
    * @param clock the time source
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/HopAuthenticator.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/HopAuthenticator.java
@@ -11,9 +11,9 @@
 import org.lacewingcroft.request.CallerRequest;
 
 /**
- * Marks requests that one entry relays to another, and verifies the marks of received requests. The
- * mark prevents the receiver from relaying a request again. It carries an HMAC-SHA256 tag keyed by
- * the deployment's secret, so that a caller cannot impersonate an entry.
+ * Signs requests that one entry relays to another, and verifies the hop marks of received requests.
+ * The hop mark prevents the receiver from relaying a request again. It carries an HMAC-SHA256 tag
+ * keyed by the deployment's secret, so that a caller cannot impersonate an entry.
  */
 public final class HopAuthenticator {
   /** Header marking a request relayed to its idempotency key's owner in the same region. */
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/EntryListTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/EntryListTest.java
@@ -45,7 +45,7 @@
       transport = new PeerTransport(vertx, new FrameCodec(FleetHarness.SECRET));
       info = new EntryInfo(name, "north", "north-a", "p", "127.0.0.1:" + port, "r");
       transport
-          .listen("127.0.0.1", port, (stamp, message) -> record(message))
+          .listen("127.0.0.1", port, (timestamp, message) -> record(message))
           .toCompletionStage()
           .toCompletableFuture()
           .get(5, TimeUnit.SECONDS);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/misc/HybridLogicalClock.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/misc/HybridLogicalClock.java
@@ -4,10 +4,10 @@
 
 /**
  * A hybrid logical clock, which combines physical milliseconds with a logical counter so that the
- * order of stamps from several processes is consistent with causality even if their wall clocks
+ * order of timestamps from several processes is consistent with causality even if their wall clocks
  * differ slightly.
  *
- * <p>Stamps have the form {@code <millis>.<counter>} with a zero-padded counter, so that their
+ * <p>Timestamps have the form {@code <millis>.<counter>} with a zero-padded counter, so that their
  * lexicographic order is the order of the clock. The clock is thread-safe.
  */
 public final class HybridLogicalClock {
@@ -21,7 +21,7 @@
     this.source = source;
   }
 
-  /** Advances the clock and returns the stamp of a local or send event. */
+  /** Advances the clock and returns the timestamp of a local or send event. */
   public synchronized String tick() {
     long wallMillis = source.millis();
     if (wallMillis > physicalMillis) {
@@ -34,19 +34,20 @@
   }
 
   /**
-   * Merges a stamp received from another process and returns the stamp of the receive event.
+   * Merges a timestamp received from another process and returns the timestamp of the receive
+   * event.
    *
-   * @param remoteStamp a stamp that {@link #tick()} returned in another process; ignored if
+   * @param remoteTimestamp a timestamp that {@link #tick()} returned in another process; ignored if
    *     malformed
    */
-  public synchronized String receive(String remoteStamp) {
+  public synchronized String receive(String remoteTimestamp) {
     long wallMillis = source.millis();
     long remoteMillis;
     long remoteCounter;
     try {
-      int dot = remoteStamp.indexOf('.');
-      remoteMillis = Long.parseLong(remoteStamp.substring(0, dot));
-      remoteCounter = Long.parseLong(remoteStamp.substring(dot + 1));
+      int dot = remoteTimestamp.indexOf('.');
+      remoteMillis = Long.parseLong(remoteTimestamp.substring(0, dot));
+      remoteCounter = Long.parseLong(remoteTimestamp.substring(dot + 1));
     } catch (RuntimeException e) {
       return tick();
     }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/FrameCodec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/FrameCodec.java
@@ -12,8 +12,8 @@
 /**
  * Encodes and decodes the frames of peer messages on TCP connections. A frame is a 4-byte
  * big-endian length, a 32-byte HMAC-SHA256 tag over the payload, and the payload: a 2-byte
- * big-endian stamp length, the sender's hybrid-logical-clock stamp in UTF-8 and the MessagePack
- * message.
+ * big-endian timestamp length, the sender's hybrid-logical-clock timestamp in UTF-8 and the
+ * MessagePack message.
  *
  * <p>A frame larger than {@link #MAX_FRAME_BYTES} is rejected before its body is read, and a frame
  * whose tag does not verify is rejected before its payload is parsed.
@@ -57,11 +57,11 @@
    *
    * @throws MalformedFrameException if the frame exceeds {@link #MAX_FRAME_BYTES}
    */
-  public byte[] encode(String stamp, PeerMessage message) {
-    byte[] stampBytes = stamp.getBytes(StandardCharsets.UTF_8);
+  public byte[] encode(String timestamp, PeerMessage message) {
+    byte[] timestampBytes = timestamp.getBytes(StandardCharsets.UTF_8);
     byte[] body = MessageCodec.encode(message);
-    ByteBuffer payload = ByteBuffer.allocate(2 + stampBytes.length + body.length);
-    payload.putShort((short) stampBytes.length).put(stampBytes).put(body);
+    ByteBuffer payload = ByteBuffer.allocate(2 + timestampBytes.length + body.length);
+    payload.putShort((short) timestampBytes.length).put(timestampBytes).put(body);
     byte[] tag = tag(payload.array());
     int length = TAG_BYTES + payload.capacity();
     if (length > MAX_FRAME_BYTES) {
@@ -102,15 +102,15 @@
       throw new MalformedFrameException("frame tag does not verify; check the shared secret");
     }
     ByteBuffer in = ByteBuffer.wrap(payload);
-    int stampLength = in.getShort() & 0xffff;
-    if (stampLength > in.remaining()) {
-      throw new MalformedFrameException("stamp length exceeds the frame size");
+    int timestampLength = in.getShort() & 0xffff;
+    if (timestampLength > in.remaining()) {
+      throw new MalformedFrameException("timestamp length exceeds the frame size");
     }
-    byte[] stamp = new byte[stampLength];
-    in.get(stamp);
+    byte[] timestamp = new byte[timestampLength];
+    in.get(timestamp);
     byte[] message = new byte[in.remaining()];
     in.get(message);
-    return new Frame(new String(stamp, StandardCharsets.UTF_8), MessageCodec.decode(message));
+    return new Frame(new String(timestamp, StandardCharsets.UTF_8), MessageCodec.decode(message));
   }
 
   /**
