--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/CrashSuspectReport.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/CrashSuspectReport.java
@@ -10,8 +10,8 @@
 import java.util.TreeSet;
 
 /**
- * Lists the request contents that were in progress at endpoints whose connections were lost. A
- * content that recurs across several of these endpoints, from the same senders, crashes the
+ * Lists the request contents that were in progress at endpoints whose connections were lost.
+ * Content that recurs across several of these endpoints, from the same senders, crashes the
  * endpoints that run it. If no content recurs, the endpoints crashed for another reason.
  */
 public final class CrashSuspectReport {
@@ -50,6 +50,7 @@
     if (!line.event().equals(PLACED) || line.text("fingerprint").isEmpty()) {
       return;
     }
+    // Only relays to another region log a region.
     if (line.fields().has("region")) {
       entries.add(line.text("target"));
     }
@@ -63,9 +64,9 @@
   private void readFailure(LogLine line) {
     boolean connectionLost =
         line.event().equals(ATTEMPT_FAILED) && line.text("what").equals(CONNECTION_LOST);
-    boolean isEndpointWithFingerprint =
+    boolean failedAtEndpoint =
         !line.text("fingerprint").isEmpty() && !entries.contains(line.text("target"));
-    if (connectionLost && isEndpointWithFingerprint) {
+    if (connectionLost && failedAtEndpoint) {
       suspect(line).endpoints().add(line.text("target"));
     }
   }
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/OutcomeCounts.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/OutcomeCounts.java
@@ -12,7 +12,7 @@
   private final Map<Result, Long> counts = new EnumMap<>(Result.class);
   private final Histogram firstByteMillis = new Histogram(SIGNIFICANT_DIGITS);
   private final Histogram durationMillis = new Histogram(SIGNIFICANT_DIGITS);
-  private double lostWeight;
+  private double notServedWeight;
 
   /**
    * Adds a request.
@@ -25,7 +25,7 @@
       firstByteMillis.recordValue(Math.max(0, outcome.firstByteMillis()));
       durationMillis.recordValue(Math.max(0, outcome.durationMillis()));
     } else {
-      lostWeight += weight;
+      notServedWeight += weight;
     }
   }
 
@@ -40,8 +40,8 @@
   }
 
   /** Returns the total weight of the requests that were not served. */
-  public double lostWeight() {
-    return lostWeight;
+  public double notServedWeight() {
+    return notServedWeight;
   }
 
   /**
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/RequestOutcome.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/RequestOutcome.java
@@ -10,8 +10,8 @@
  * @param cause the reason why the request was not served, empty if it was served
  * @param target the endpoint or entry of the last attempt, empty if the request was never placed
  * @param arrivedMillis the time of arrival, in milliseconds since the epoch
- * @param firstByteMillis the time from arrival to the response head in milliseconds, -1 if no
- *     response head was received
+ * @param firstByteMillis the time from arrival to the first byte of the response (its head) in
+ *     milliseconds, -1 if none was received
  * @param durationMillis the time from arrival to the end of the request, in milliseconds
  */
 public record RequestOutcome(
@@ -29,7 +29,7 @@
   public enum Result {
     /** The response was completed without a server error. */
     SERVED,
-    /** The request was rejected and has not run. */
+    /** The request was refused and has not run. */
     REFUSED,
     /** Any other outcome: the response was an error or was not completed. */
     FAILED,
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/RequestOutcomes.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/RequestOutcomes.java
@@ -17,8 +17,8 @@
   private static final String SERVED = "served";
   private static final int SERVER_ERROR = 500;
 
-  /** Statuses of rejected requests, provided that the request cannot have run. */
-  private static final Set<Long> REJECTED_STATUSES = Set.of(429L, 503L);
+  /** Statuses of refused requests, provided that the request cannot have run. */
+  private static final Set<Long> REFUSED_STATUSES = Set.of(429L, 503L);
 
   private final List<RequestOutcome> outcomes = new ArrayList<>();
   private final Map<Handling, List<LogLine>> attemptLines = new HashMap<>();
@@ -46,6 +46,7 @@
     switch (line.event()) {
       case PLACED, ATTEMPT_FAILED -> {
         attemptLines.computeIfAbsent(handling, h -> new ArrayList<>()).add(line);
+        // Only relays to another region log a region.
         if (line.fields().has("region")) {
           relayed.add(new Handling(line.text("request"), line.text("target")));
         }
@@ -82,9 +83,9 @@
     } else if (finished.text("outcome").equals(SERVED) && status < SERVER_ERROR) {
       return Result.SERVED;
     }
-    boolean rejected =
-        REJECTED_STATUSES.contains(status) && !finished.fields().path("mayHaveRun").asBoolean();
-    return rejected ? Result.REFUSED : Result.FAILED;
+    boolean refused =
+        REFUSED_STATUSES.contains(status) && !finished.fields().path("mayHaveRun").asBoolean();
+    return refused ? Result.REFUSED : Result.FAILED;
   }
 
   /** Returns the outcome that the entry logged, with the failure of the last failed attempt. */
--- a/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/ServiceReport.java
+++ b/lacewingcroft-cli/src/main/java/org/lacewingcroft/logs/ServiceReport.java
@@ -75,22 +75,23 @@
     ServiceReport reportOfNotServed = new ServiceReport(notServed, weightByRoute);
     List<Row> seconds = new ArrayList<>();
     countsBySecond().forEach((second, counts) -> seconds.add(new Row(second.toString(), counts)));
-    return table("route", rowsByLostWeight(RequestOutcome::route))
-        + table("entry", rowsByLostWeight(RequestOutcome::node))
+    return table("route", rowsByNotServedWeight(RequestOutcome::route))
+        + table("entry", rowsByNotServedWeight(RequestOutcome::node))
         + table(
             "route and cause",
-            reportOfNotServed.rowsByLostWeight(o -> o.route() + ": " + o.cause()))
-        + table("last target", rowsByLostWeight(o -> o.target().isEmpty() ? "none" : o.target()))
+            reportOfNotServed.rowsByNotServedWeight(o -> o.route() + ": " + o.cause()))
+        + table(
+            "last target", rowsByNotServedWeight(o -> o.target().isEmpty() ? "none" : o.target()))
         + table("second of arrival", seconds);
   }
 
   /** A row of a table. */
   private record Row(String name, OutcomeCounts counts) {}
 
-  private List<Row> rowsByLostWeight(Function<RequestOutcome, String> key) {
+  private List<Row> rowsByNotServedWeight(Function<RequestOutcome, String> key) {
     return countsBy(key).entrySet().stream()
         .map(e -> new Row(e.getKey(), e.getValue()))
-        .sorted(Comparator.comparingDouble(row -> -row.counts().lostWeight()))
+        .sorted(Comparator.comparingDouble(row -> -row.counts().notServedWeight()))
         .toList();
   }
 
@@ -108,7 +109,7 @@
               c.count(Result.REFUSED),
               c.count(Result.FAILED),
               c.count(Result.LEFT),
-              c.lostWeight(),
+              c.notServedWeight(),
               c.firstByteMillis(50),
               c.firstByteMillis(99),
               c.durationMillis(99)));
--- a/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/ServiceReportTest.java
+++ b/lacewingcroft-cli/src/test/java/org/lacewingcroft/logs/ServiceReportTest.java
@@ -79,7 +79,7 @@
     OutcomeCounts second = report.countsBySecond().get(1L);
     assertThat(second.count(Result.FAILED), is(1L));
     assertThat(second.count(Result.SERVED), is(1L));
-    assertThat(second.lostWeight(), is(2.5));
+    assertThat(second.notServedWeight(), is(2.5));
     String byEntry = report.text().substring(report.text().indexOf("by entry"));
     assertThat(byEntry.lines().toList().get(2), containsString("south-1"));
   }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ConfigBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ConfigBench.java
@@ -119,7 +119,9 @@
     long version = deployment.client().configVersion(anyControl());
     for (int i = 0; i < options.changes(); i++) {
       version =
-          i % CHANGES_PER_RACE == 0 ? race(i, version) : applyUntilAccepted("change-" + i, version);
+          i % CHANGES_PER_RACE == 0
+              ? sendConflictingChanges(i, version)
+              : applyUntilAccepted("change-" + i, version);
       if (i % CHANGES_PER_RESEND == 0) {
         resendLast();
       }
@@ -220,8 +222,12 @@
     conflicts++;
   }
 
-  /** Sends two conflicting changes based on one version and returns the newest accepted version. */
-  private long race(int i, long expected) throws Exception {
+  /**
+   * Sends two changes with the same expected version concurrently and returns the version of the
+   * accepted one. At most one of them may be accepted. If neither is, sends another change until it
+   * is accepted.
+   */
+  private long sendConflictingChanges(int i, long expected) throws Exception {
     CompletableFuture<Optional<Long>> concurrentChange =
         CompletableFuture.supplyAsync(
             () -> {
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/LocalDeployment.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/LocalDeployment.java
@@ -239,7 +239,7 @@
   }
 
   private void startStandins(StandinGroup group) throws Exception {
-    List<String> gateways =
+    List<String> entryUrls =
         entryUrlByNode.entrySet().stream()
             .filter(e -> entryRegionByNode.get(e.getKey()).equals(group.region()))
             .map(Map.Entry::getValue)
@@ -252,7 +252,7 @@
             "--runners", Integer.toString(group.runners()),
             "--region", group.region(),
             "--failure-domain", group.region() + "-a",
-            "--announce", String.join(",", gateways),
+            "--announce", String.join(",", entryUrls),
             "--model", group.model(),
             "--capacity", Integer.toString(group.capacity()),
             "--port-file", workDir.resolve(group.idPrefix() + ".ports").toString()));
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/PolicyBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/PolicyBench.java
@@ -15,8 +15,8 @@
 /**
  * Compares routing policies on the same trace, each on a separate deployment, while a region loses
  * most of its engines and its traffic moves to engines with cold caches. Measures the cost (engine
- * step time per served request), the tail latency of reviews and of questions separately, and the
- * share of requests sent to another region.
+ * step time per served request), the tail latency of long review prompts and of short questions
+ * separately, and the share of requests sent to another region.
  */
 public final class PolicyBench {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -101,9 +101,9 @@
       CompletableFuture<Counters> lostCounters =
           CompletableFuture.supplyAsync(() -> loseEngines(deployment));
       ReplayResult result = replayer.replay(trace, r -> entryFor(deployment, r));
-      Counters used =
+      Counters countersOfTrace =
           Counters.read(deployment).plus(lostCounters.get(60, TimeUnit.SECONDS)).minus(before);
-      out.accept(report(policy, trace, result, used).toString());
+      out.accept(report(policy, trace, result, countersOfTrace).toString());
       return result.outsideResidency == 0 && result.corrupted == 0;
     }
   }
@@ -143,7 +143,7 @@
   }
 
   private static ObjectNode report(
-      String policy, List<TraceRequest> trace, ReplayResult result, Counters used) {
+      String policy, List<TraceRequest> trace, ReplayResult result, Counters countersOfTrace) {
     ObjectNode line = JSON.createObjectNode();
     int served = result.outcome("served");
     line.put("bench", "policy");
@@ -151,8 +151,11 @@
     line.put("requests", trace.size());
     line.put("served", served);
     line.set("outcomes", JSON.valueToTree(result.outcomes));
-    line.put("stepMillisPerServed", used.busyMicros() / 1000.0 / Math.max(1, served));
-    line.put("cacheHitShare", used.hits() / (double) Math.max(1, used.hits() + used.misses()));
+    line.put("stepMillisPerServed", countersOfTrace.busyMicros() / 1000.0 / Math.max(1, served));
+    line.put(
+        "cacheHitShare",
+        countersOfTrace.hits()
+            / (double) Math.max(1, countersOfTrace.hits() + countersOfTrace.misses()));
     line.put("crossRegionShare", result.crossRegionShare());
     line.put("outsideResidency", result.outsideResidency);
     line.put("corrupted", result.corrupted);
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ReplayResult.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/ReplayResult.java
@@ -38,7 +38,10 @@
   /** Served requests whose serving region differs from the region of the caller. */
   public int crossRegion;
 
-  /** Responses that contained a token of another request or ended without being complete. */
+  /**
+   * Responses with an event or token that does not belong to the request, and responses that ended
+   * incomplete. An otherwise intact stream that ends with an error event does not count.
+   */
   public int corrupted;
 
   /** Served requests whose serving region is outside their residency. */
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/SlopeBench.java
@@ -110,9 +110,11 @@
                       now.plusSeconds(60)));
         }
         Router router = new Router("uusimaa", policy);
+        // Sums the hash codes of the results so that the JIT compiler cannot eliminate the calls.
         long sink = 0;
-        for (int round = 0; round < decisions / 4; round++) {
-          sink += router.route(request(round), config, directory, IDLE_VIEW, now).hashCode();
+        for (int warmUpDecision = 0; warmUpDecision < decisions / 4; warmUpDecision++) {
+          sink +=
+              router.route(request(warmUpDecision), config, directory, IDLE_VIEW, now).hashCode();
         }
         long startCpuNanos = THREADS.getCurrentThreadCpuTime();
         for (int i = 0; i < decisions; i++) {
@@ -148,7 +150,7 @@
             .append(", residency: [uusimaa, pirkanmaa], requestsPerSecond: 20}\n");
       }
       String document = yaml.toString();
-      for (int round = 0; round < 3; round++) {
+      for (int warmUpRound = 0; warmUpRound < 3; warmUpRound++) {
         ConfigParser.parse(document);
       }
       int rounds = 5;
@@ -191,10 +193,12 @@
   }
 
   /**
-   * Runs the membership of the given numbers of daemons in-process on the loopback interface, with
-   * {@link #MEMBERS_PER_REGION} members per region. Measures in the second half of each run the
-   * gossip bytes sent per second and member, the CPU time of the process, and the number of falsely
-   * suspected members.
+   * Runs the membership protocol of the given numbers of daemons in this process over the loopback
+   * interface, with {@link #MEMBERS_PER_REGION} members per region. Measures the gossip bytes sent
+   * per second and member and the CPU time of the process over the second half of each run, and the
+   * busiest member's share of the bytes over the whole run. At the end of a run, it reads the
+   * average size of the member tables and the number of suspected members. These are suspected
+   * falsely, because no member stops during a run.
    */
   public void membership(List<Integer> memberCounts, Duration run, Duration interval)
       throws Exception {
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/TraceReplayer.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/bench/TraceReplayer.java
@@ -62,8 +62,8 @@
         .request(options(request, target, requestId))
         .onFailure(e -> countFailure("unreachable", result, done))
         .onSuccess(
-            upstream ->
-                upstream
+            outgoing ->
+                outgoing
                     .send(Buffer.buffer(request.body()))
                     .onFailure(e -> countFailure("cut", result, done))
                     .onSuccess(response -> readResponse(response, replayed, result, done)));
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/BatchingEngine.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/BatchingEngine.java
@@ -47,7 +47,7 @@
   private static final class Sequence {
     final HttpServerResponse response;
     final boolean stream;
-    final String requestTag;
+    final String requestId;
     final String model;
     final int maxTokens;
     final StringBuilder text = new StringBuilder();
@@ -58,7 +58,7 @@
       String id = request.getHeader("X-Request-Id");
       this.response = request.response();
       this.stream = body.path("stream").asBoolean(false);
-      this.requestTag = id == null ? "untagged" : id;
+      this.requestId = id == null ? "untagged" : id;
       this.model = body.path("model").asText("");
       this.maxTokens = body.path("max_tokens").asInt(DEFAULT_MAX_TOKENS);
       this.pendingPrefillMicros = prefillMicros;
@@ -102,6 +102,7 @@
       request.response().setChunked(true).putHeader("Content-Type", "text/event-stream");
     }
     inFlight.incrementAndGet();
+    // Treats the sequence as finished once its connection closes, so that it emits no more tokens.
     request.connection().closeHandler(v -> sequence.emittedTokens = sequence.maxTokens);
     waiting.add(sequence);
     scheduleStep();
@@ -169,7 +170,7 @@
   }
 
   private static void emitToken(Sequence s) {
-    String token = "t" + s.emittedTokens + ":" + s.requestTag + " ";
+    String token = "t" + s.emittedTokens + ":" + s.requestId + " ";
     s.emittedTokens++;
     s.text.append(token);
     if (s.stream && !s.response.ended()) {
@@ -187,7 +188,7 @@
       return;
     }
     ObjectNode body = JSON.createObjectNode();
-    body.put("id", "chatcmpl-" + s.requestTag);
+    body.put("id", "chatcmpl-" + s.requestId);
     body.put("object", "chat.completion");
     body.put("model", s.model);
     ObjectNode choice = body.putArray("choices").addObject();
@@ -200,7 +201,7 @@
 
   private static String chunkJson(Sequence s, String token) {
     ObjectNode body = JSON.createObjectNode();
-    body.put("id", "chatcmpl-" + s.requestTag);
+    body.put("id", "chatcmpl-" + s.requestId);
     body.put("object", "chat.completion.chunk");
     body.put("model", s.model);
     body.putArray("choices").addObject().put("index", 0).putObject("delta").put("content", token);
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/Main.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/Main.java
@@ -23,7 +23,7 @@
 /**
  * The command {@code lacewingcroft-standin}, which runs one or more stand-in runners in one
  * process. The runners are model engines or a plain service. Each one listens on its own free port
- * and announces itself to the given gateways.
+ * and announces itself to the given entries.
  */
 @Command(
     name = "lacewingcroft-standin",
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/RunnerSpec.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/RunnerSpec.java
@@ -15,7 +15,7 @@
  * @param labels the announced labels
  * @param models the models, or the service name, that the runner serves
  * @param capacity the number of concurrent requests; further requests wait in a queue
- * @param gateways the base URLs of the entry daemons that receive the announcements
+ * @param entryUrls the base URLs of the entry daemons that receive the announcements
  * @param announceInterval the interval between lease renewals
  * @param reportLag the age of the reported load and cache events
  * @param checksFencing whether operator orders with an outdated fencing token are refused
@@ -30,7 +30,7 @@
     Map<String, String> labels,
     List<String> models,
     int capacity,
-    List<String> gateways,
+    List<String> entryUrls,
     Duration announceInterval,
     Duration reportLag,
     boolean checksFencing,
@@ -41,6 +41,6 @@
   public RunnerSpec {
     labels = Map.copyOf(labels);
     models = List.copyOf(models);
-    gateways = List.copyOf(gateways);
+    entryUrls = List.copyOf(entryUrls);
   }
 }
--- a/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/StandinRunner.java
+++ b/lacewingcroft-standins/src/main/java/org/lacewingcroft/standin/StandinRunner.java
@@ -211,12 +211,12 @@
     }
     body.put("sequence", announcementSequence.incrementAndGet());
     Buffer payload = Buffer.buffer(body.toString());
-    for (String gateway : spec.gateways()) {
+    for (String entryUrl : spec.entryUrls()) {
       client
           .request(
               new RequestOptions()
                   .setMethod(HttpMethod.POST)
-                  .setAbsoluteURI(gateway + "/v1/endpoints/announce")
+                  .setAbsoluteURI(entryUrl + "/v1/endpoints/announce")
                   .setConnectTimeout(1_000)
                   .setIdleTimeout(2_000))
           .compose(r -> r.send(payload))
--- a/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/FaultEndToEndTest.java
+++ b/lacewingcroft-standins/src/test/java/org/lacewingcroft/bench/FaultEndToEndTest.java
@@ -111,7 +111,10 @@
     assertThat(result.corrupted, is(0));
   }
 
-  /** A fault injected, while orders are sent, into an entry that owns the keys of some of them. */
+  /**
+   * A fault of an entry that owns the idempotency keys of some of the orders. The fault is injected
+   * while the orders are sent.
+   */
   private enum EntryFault {
     KILLED,
     KILLED_TWICE,
@@ -181,7 +184,7 @@
    * connect (its caller then tries another entry). No connection is lost after a request was sent.
    */
   @ParameterizedTest
-  @MethodSource("plannedStops")
+  @MethodSource("gracefulStops")
   void gracefulStopInterruptsNoRequest(String process) throws Exception {
     List<TraceRequest> trace = TraceRequest.scaled(DemoDeployment.trace(), 3, 1.5);
     final CompletableFuture<ReplayResult> load =
@@ -204,7 +207,7 @@
     return r.region() + "-entry-" + (1 + r.atMillis() % 2);
   }
 
-  static Stream<String> plannedStops() {
+  static Stream<String> gracefulStops() {
     return Stream.of(OTHER_REGION + "-entry-1", "writers-" + OTHER_REGION, "control-1");
   }
 
