--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
@@ -440,7 +440,7 @@
     Set<String> targets = knownControls(now);
     Set<String> followed =
         largeFleet && !controlUnresponsive ? controlTracker.followed(controls, now) : targets;
-    long reportId = lease.startRequest(clocks());
+    long reportId = lease.startReport(clocks());
     transport.sendAll(followed, entryReport(true, reportId));
     reportCount++;
     if (reportCount % REPORTS_PER_BROADCAST == 0 || shuttingDown) {
@@ -511,8 +511,8 @@
       onRegionLoad(load);
     } else if (message instanceof FleetMessage.EntryNews news) {
       quotas.applyPeerUsage(news.news().quotaUsage(), clock.instant());
-    } else if (message instanceof FleetMessage.NewsDigest digest) {
-      onNewsDigest(digest);
+    } else if (message instanceof FleetMessage.NewsDigest batch) {
+      onNewsDigest(batch);
     } else if (message instanceof FleetMessage.SuspicionUpdate update) {
       quarantine.onSuspicionUpdate(update);
     } else if (message instanceof FleetMessage.SuspicionAck ack) {
@@ -529,12 +529,12 @@
     load.services().forEach(s -> regionLoads.update(load.region(), s, now));
   }
 
-  private void onNewsDigest(FleetMessage.NewsDigest digest) {
-    aggregatorSelector.onDigest(digest.from());
-    digest.news().loads().forEach(loads::onLoadReport);
-    digest.news().prefixes().forEach(prefixes::onPrefixRead);
-    digest.news().regionLoads().forEach(this::onRegionLoad);
-    quotas.applyFleetUsage(digest.news().quotaUsage(), clock.instant());
+  private void onNewsDigest(FleetMessage.NewsDigest batch) {
+    aggregatorSelector.onBatch(batch.from());
+    batch.news().loads().forEach(loads::onLoadReport);
+    batch.news().prefixes().forEach(prefixes::onPrefixRead);
+    batch.news().regionLoads().forEach(this::onRegionLoad);
+    quotas.applyFleetUsage(batch.news().quotaUsage(), clock.instant());
   }
 
   /**
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LoadExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LoadExchange.java
@@ -184,7 +184,7 @@
           settings.inOwnRegion(tracker.record().failureDomain())
               && tracker.acceptsRequests(now)
               && !tracker.isCold(now)
-              && !tracker.isSuspect(now)
+              && !tracker.isUnresponsiveOrInBackoff(now)
               && tracker.withinRate(self.name(), regionEntries, now)
               && !evacuatedDomains.contains(tracker.record().failureDomain());
       if (available) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
@@ -99,7 +99,7 @@
    */
   public Optional<Duration> remainingQuarantine(RequestFingerprint content) {
     Instant now = clock.instant();
-    Optional<Suspicion> suspicion = ledger.quarantined(content, now);
+    Optional<Suspicion> suspicion = ledger.quarantineEvidence(content, now);
     if (suspicion.isEmpty()) {
       return Optional.empty();
     }
@@ -112,14 +112,14 @@
 
   /** Returns the number of quarantined request contents. */
   public int size() {
-    return ledger.quarantined(clock.instant()).size();
+    return ledger.allQuarantineEvidence(clock.instant()).size();
   }
 
   /** Records that an endpoint has completed its response for this request content. */
   public void completed(RequestFingerprint content) {
     Instant now = clock.instant();
     completions.record(content, now);
-    if (ledger.quarantined(content, now).isPresent()) {
+    if (ledger.quarantineEvidence(content, now).isPresent()) {
       recordAndReport(Suspicion.cleared(content));
     }
   }
@@ -226,7 +226,7 @@
           .merge(suspicion, now)
           .ifPresent(merged -> QuarantineLog.logChange(merged, update.from()));
       RequestFingerprint content = suspicion.content();
-      if (ledger.quarantined(content, now).isPresent()
+      if (ledger.quarantineEvidence(content, now).isPresent()
           && completions.isRecentlyCompleted(content, now)) {
         recordAndReport(Suspicion.cleared(content));
       }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionExchange.java
@@ -167,6 +167,6 @@
 
   /** Returns the number of quarantined contents. */
   int size() {
-    return ledger.quarantined(clock.instant()).size();
+    return ledger.allQuarantineEvidence(clock.instant()).size();
   }
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/UpdateAggregator.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/UpdateAggregator.java
@@ -36,7 +36,7 @@
 
   /** A region whose entries have selected this aggregator. */
   private static final class ServedRegion {
-    private final UpdateBuffer digestBuffer = new UpdateBuffer();
+    private final UpdateBuffer localBuffer = new UpdateBuffer();
     private final RemoteUpdateBuffer remoteBuffer = new RemoteUpdateBuffer();
     private Instant lastUpdateAt;
   }
@@ -70,7 +70,7 @@
     Instant now = clock.instant();
     ServedRegion served = regions.computeIfAbsent(message.region(), r -> new ServedRegion());
     served.lastUpdateAt = now;
-    served.digestBuffer.add(message.news(), message.urgent());
+    served.localBuffer.add(message.news(), message.urgent());
     served.remoteBuffer.add(message.news(), now);
     News forOtherRegions =
         new News(
@@ -90,7 +90,7 @@
     regions.forEach(
         (region, served) -> {
           if (!region.equals(origin)) {
-            served.digestBuffer.add(updates, false);
+            served.localBuffer.add(updates, false);
           }
         });
   }
@@ -103,7 +103,7 @@
 
   private void sendDue(String region, ServedRegion served, Instant now) {
     served
-        .digestBuffer
+        .localBuffer
         .drainIfDue(now)
         .ifPresent(
             updates ->
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
@@ -329,7 +329,7 @@
                           .upstream
                           .target()
                           .endpoint()
-                          .filter(e -> !e.isSuspect(context.now()))
+                          .filter(e -> !e.isUnresponsiveOrInBackoff(context.now()))
                           .isPresent();
                   if (respondsToOthers && periodsLeft > 1) {
                     startResponseTimer(attempt, timeoutMillis, periodsLeft - 1);
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ContentQuarantine.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ContentQuarantine.java
@@ -112,7 +112,7 @@
 
   /** Returns the quarantined contents. */
   synchronized List<Suspicion> quarantinedContents() {
-    return ledger.quarantined(clock.instant());
+    return ledger.allQuarantineEvidence(clock.instant());
   }
 
   /**
@@ -130,7 +130,7 @@
 
   private synchronized boolean clear(RequestFingerprint content, String cause) {
     Instant now = clock.instant();
-    return ledger.quarantined(content, now).isPresent()
+    return ledger.quarantineEvidence(content, now).isPresent()
         && merge(Suspicion.cleared(content), cause, now);
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusMember.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/consensus/ConsensusMember.java
@@ -264,14 +264,15 @@
   }
 
   /**
-   * Proposes a command that needs no expected version. A routing document whose version is not
-   * higher than the highest in the log is reported as accepted without a new entry, once the last
-   * entry is committed.
+   * Proposes a command that needs no expected version. The leader appends it to the log and reports
+   * it as accepted once its entry is committed; any other member reports that it does not lead. A
+   * routing document whose version is not higher than the highest in the log is not appended; it is
+   * reported as accepted once the last entry of the log is committed.
    *
    * @param proposalId identifies the proposal in its {@link Output.Decision}, which may be returned
    *     by a later step
-   * @param command the command, already validated; once a {@link Command.Noop} is committed, this
-   *     member is confirmed to still be the leader, which a linearizable read requires
+   * @param command the command, already validated; a committed {@link Command.Noop} confirms that
+   *     this member still leads, which a linearizable read requires
    * @param nowMillis the current reading of the monotonic clock, in milliseconds
    */
   public Output submit(long proposalId, Command command, long nowMillis) {
@@ -351,8 +352,8 @@
   }
 
   /**
-   * Returns whether this member is in contact with a majority: it leads and a quorum responds to
-   * it, or it has received a message from a leader within an election timeout.
+   * Returns whether this member is in contact with a quorum: it leads and a quorum responds to it,
+   * or it has received a message from a leader within an election timeout.
    */
   public boolean inMajority(long nowMillis) {
     return role == Role.LEADER ? hasQuorumContact(nowMillis) : hasLiveLeader(nowMillis);
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/AggregatorSelector.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/AggregatorSelector.java
@@ -9,9 +9,9 @@
 
 /**
  * Selects the control instance that collects a region's updates and distributes them to the
- * region's entries. All entries rank the control instances in the same order, so that nearly always
- * one instance receives the updates of all of them: first those of the entry's own region, then the
- * others, whose digests are older by the latency between regions.
+ * region's entries. All entries of a region rank the control instances in the same order, so that
+ * nearly always one instance receives the updates of all of them: first those of the entries' own
+ * region, then the others, whose batches are older by the latency between regions.
  *
  * <p>Designed for regions of many entries. If each entry sent its updates to every other one, the
  * work of each would grow with their number; with one aggregator, an entry handles a few messages a
@@ -27,19 +27,19 @@
   private static final Duration HEARTBEAT_TIMEOUT = Duration.ofMillis(1_200);
 
   /**
-   * Time without a digest after an update was sent, after which the selected instance is put in
-   * backoff. Digests are sent at least every 480 ms, and the first one may take a round trip
+   * Time without a batch after an update was sent, after which the selected instance is put in
+   * backoff. Batches are sent at least every 480 ms, and the first one may take a round trip
    * between regions.
    */
-  private static final Duration DIGEST_TIMEOUT = Duration.ofMillis(800);
+  private static final Duration BATCH_TIMEOUT = Duration.ofMillis(800);
 
-  /** How long a control instance that sent no digest in time is excluded. */
+  /** How long a control instance that sent no batch in time is excluded. */
   private static final Duration BACKOFF = Duration.ofSeconds(3);
 
   private final String region;
   private final Map<String, Candidate> candidates = new HashMap<>();
   private Optional<String> selected = Optional.empty();
-  private Optional<Instant> awaitingDigestSince = Optional.empty();
+  private Optional<Instant> awaitingBatchSince = Optional.empty();
 
   private static final class Candidate {
     private String region;
@@ -67,20 +67,20 @@
     candidate.lastHeartbeatAt = now;
   }
 
-  /** Records the arrival of a digest. */
-  public void onDigest(String address) {
+  /** Records the arrival of a batch of updates ({@link FleetMessage.NewsDigest}). */
+  public void onBatch(String address) {
     if (selected.filter(address::equals).isPresent()) {
-      awaitingDigestSince = Optional.empty();
+      awaitingBatchSince = Optional.empty();
     }
   }
 
   /**
-   * Records that an update was sent to the selected instance, which is put in backoff if no digest
-   * follows within {@link #DIGEST_TIMEOUT}.
+   * Records that an update was sent to the selected instance, which is put in backoff if no batch
+   * follows within {@link #BATCH_TIMEOUT}.
    */
   public void onUpdateSent(Instant now) {
-    if (awaitingDigestSince.isEmpty()) {
-      awaitingDigestSince = Optional.of(now);
+    if (awaitingBatchSince.isEmpty()) {
+      awaitingBatchSince = Optional.of(now);
     }
   }
 
@@ -99,14 +99,14 @@
             .map(Map.Entry::getKey);
     if (!best.equals(selected)) {
       selected = best;
-      awaitingDigestSince = Optional.empty();
+      awaitingBatchSince = Optional.empty();
     }
     return selected;
   }
 
   private void backOffIfOverdue(String address, Instant now) {
     boolean overdue =
-        awaitingDigestSince.filter(since -> !since.plus(DIGEST_TIMEOUT).isAfter(now)).isPresent();
+        awaitingBatchSince.filter(since -> !since.plus(BATCH_TIMEOUT).isAfter(now)).isPresent();
     if (overdue) {
       candidates.get(address).backoffUntil = now.plus(BACKOFF);
     }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/ControlInstanceTracker.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/ControlInstanceTracker.java
@@ -10,7 +10,7 @@
 
 /**
  * Selects the control instances that an entry follows, that is, whose roster and entry list it
- * receives: those of its own region while one of them is connected to a majority of the control
+ * receives: those of its own region while one of them is connected to a quorum of the control
  * group, and otherwise all of them. The other control instances receive reports less often, just
  * enough to list the entry to callers.
  *
@@ -63,14 +63,14 @@
    */
   public Set<String> followed(Collection<String> known, Instant now) {
     Set<String> sameRegion = new TreeSet<>();
-    boolean hasMajority = false;
+    boolean hasQuorum = false;
     for (String address : known) {
       Reply reply = lastReplies.get(address);
       if (reply != null && reply.region.equals(region)) {
         sameRegion.add(address);
-        hasMajority |= reply.inMajority && reply.receivedAt.plus(REPLY_TIMEOUT).isAfter(now);
+        hasQuorum |= reply.inMajority && reply.receivedAt.plus(REPLY_TIMEOUT).isAfter(now);
       }
     }
-    return hasMajority ? sameRegion : new TreeSet<>(known);
+    return hasQuorum ? sameRegion : new TreeSet<>(known);
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointRoster.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/EndpointRoster.java
@@ -30,28 +30,31 @@
    */
   private static final int RECLAIM_ANNOUNCEMENTS = 2;
 
-  /** How long a deregistered incarnation is retained, longer than any announcement is delayed. */
-  private static final Duration TOMBSTONE_RETENTION = Duration.ofSeconds(90);
+  /**
+   * How long an endpoint's record is retained after its last announcement or its deregistration,
+   * longer than any announcement is delayed.
+   */
+  private static final Duration RECORD_RETENTION = Duration.ofSeconds(90);
 
-  private static final class TrackedEndpoint {
+  private static final class StoredEndpoint {
     private EndpointRecord record;
     private Instant lastAnnouncedAt;
     private Instant coldUntil;
     private boolean replaced;
     private int reclaimAnnouncements;
 
-    private TrackedEndpoint(EndpointRecord record, Instant now) {
+    private StoredEndpoint(EndpointRecord record, Instant now) {
       update(record, now);
     }
 
     /**
-     * Creates an incarnation whose first announcement arrived after that of the one which took over
-     * its address.
+     * Records an incarnation whose first announcement arrived after that of the incarnation that
+     * took over its address.
      */
-    private static TrackedEndpoint createReplaced(EndpointRecord record, Instant now) {
-      TrackedEndpoint tracked = new TrackedEndpoint(record.withState(EndpointState.LOST), now);
-      tracked.replaced = true;
-      return tracked;
+    private static StoredEndpoint createReplaced(EndpointRecord record, Instant now) {
+      StoredEndpoint stored = new StoredEndpoint(record.withState(EndpointState.LOST), now);
+      stored.replaced = true;
+      return stored;
     }
 
     private void update(EndpointRecord newer, Instant now) {
@@ -66,7 +69,7 @@
     }
   }
 
-  private final Map<String, TrackedEndpoint> byId = new TreeMap<>();
+  private final Map<String, StoredEndpoint> byId = new TreeMap<>();
 
   /**
    * Applies an endpoint's own announcement, received here or by another control instance. A
@@ -79,16 +82,16 @@
     if (record.state() == EndpointState.GONE) {
       return merge(record, now);
     }
-    TrackedEndpoint tracked = byId.get(record.id());
-    if (tracked == null && hasLaterIncarnationAt(record)) {
-      byId.put(record.id(), TrackedEndpoint.createReplaced(record, now));
+    StoredEndpoint stored = byId.get(record.id());
+    if (stored == null && hasLaterIncarnationAt(record)) {
+      byId.put(record.id(), StoredEndpoint.createReplaced(record, now));
       return Optional.empty();
     }
-    if (tracked != null && tracked.record.startedAfter(record)) {
+    if (stored != null && stored.record.startedAfter(record)) {
       return Optional.empty();
     }
-    boolean sameIncarnation = tracked != null && !record.startedAfter(tracked.record);
-    if (sameIncarnation && tracked.replaced && !reclaimsAddress(tracked, record)) {
+    boolean sameIncarnation = stored != null && !record.startedAfter(stored.record);
+    if (sameIncarnation && stored.replaced && !countReclaimAnnouncement(stored, record)) {
       return Optional.empty();
     }
     markOthersReplacedAt(record);
@@ -105,17 +108,21 @@
             .anyMatch(other -> other.startedAfter(record));
   }
 
-  private boolean reclaimsAddress(TrackedEndpoint tracked, EndpointRecord record) {
-    if (record.sequence() <= tracked.record.sequence()) {
+  /**
+   * Counts an announcement of a replaced incarnation, unless it is outdated, and returns whether
+   * the incarnation gets its address back.
+   */
+  private boolean countReclaimAnnouncement(StoredEndpoint stored, EndpointRecord record) {
+    if (record.sequence() <= stored.record.sequence()) {
       return false;
     }
-    tracked.record = tracked.record.withState(EndpointState.LOST);
-    tracked.reclaimAnnouncements++;
-    return tracked.reclaimAnnouncements >= RECLAIM_ANNOUNCEMENTS;
+    stored.record = stored.record.withState(EndpointState.LOST);
+    stored.reclaimAnnouncements++;
+    return stored.reclaimAnnouncements >= RECLAIM_ANNOUNCEMENTS;
   }
 
   private void markOthersReplacedAt(EndpointRecord record) {
-    for (TrackedEndpoint other : byId.values()) {
+    for (StoredEndpoint other : byId.values()) {
       boolean sameAddress =
           other.record.address().equals(record.address())
               && !other.record.id().equals(record.id())
@@ -130,37 +137,37 @@
 
   /** Merges a record from another instance and returns it if it changed the roster. */
   public Optional<EndpointRecord> merge(EndpointRecord record, Instant now) {
-    TrackedEndpoint tracked = byId.get(record.id());
-    if (tracked == null) {
-      byId.put(record.id(), new TrackedEndpoint(record, now));
+    StoredEndpoint stored = byId.get(record.id());
+    if (stored == null) {
+      byId.put(record.id(), new StoredEndpoint(record, now));
       return Optional.of(record);
     }
-    if (!record.supersedes(tracked.record)) {
+    if (!record.supersedes(stored.record)) {
       return Optional.empty();
     }
     boolean changed =
-        record.startedAfter(tracked.record)
-            || record.state() != tracked.record.state()
-            || record.coldMillis() > 0 && !tracked.coldUntil.isAfter(now);
-    tracked.replaced = false;
-    tracked.update(record, now);
+        record.startedAfter(stored.record)
+            || record.state() != stored.record.state()
+            || record.coldMillis() > 0 && !stored.coldUntil.isAfter(now);
+    stored.replaced = false;
+    stored.update(record, now);
     return changed ? Optional.of(record) : Optional.empty();
   }
 
   /**
    * Marks the endpoints whose lease has expired as lost and returns their records. Also removes the
-   * endpoints that have not announced themselves for the tombstone retention time.
+   * endpoints that have not announced themselves for {@link #RECORD_RETENTION}.
    */
   public List<EndpointRecord> expire(Instant now, Duration lease) {
     List<EndpointRecord> lost = new ArrayList<>();
-    byId.values().removeIf(t -> t.lastAnnouncedAt.plus(TOMBSTONE_RETENTION).isBefore(now));
-    for (TrackedEndpoint tracked : byId.values()) {
+    byId.values().removeIf(t -> t.lastAnnouncedAt.plus(RECORD_RETENTION).isBefore(now));
+    for (StoredEndpoint stored : byId.values()) {
       boolean leased =
-          tracked.record.state() == EndpointState.READY
-              || tracked.record.state() == EndpointState.DRAINING;
-      if (leased && tracked.lastAnnouncedAt.plus(lease).isBefore(now)) {
-        tracked.record = tracked.record.withState(EndpointState.LOST);
-        lost.add(tracked.recordAt(now));
+          stored.record.state() == EndpointState.READY
+              || stored.record.state() == EndpointState.DRAINING;
+      if (leased && stored.lastAnnouncedAt.plus(lease).isBefore(now)) {
+        stored.record = stored.record.withState(EndpointState.LOST);
+        lost.add(stored.recordAt(now));
       }
     }
     return lost;
@@ -179,7 +186,7 @@
     List<String> gone =
         byId.values().stream()
             .filter(t -> t.record.state() == EndpointState.GONE)
-            .filter(t -> t.lastAnnouncedAt.plus(TOMBSTONE_RETENTION).isBefore(now))
+            .filter(t -> t.lastAnnouncedAt.plus(RECORD_RETENTION).isBefore(now))
             .map(t -> t.record.id())
             .toList();
     gone.forEach(this::remove);
@@ -215,8 +222,8 @@
    */
   public int digest() {
     int digest = 0;
-    for (TrackedEndpoint tracked : byId.values()) {
-      EndpointRecord record = tracked.record;
+    for (StoredEndpoint stored : byId.values()) {
+      EndpointRecord record = stored.record;
       if (record.state() != EndpointState.GONE) {
         digest += Objects.hash(record.id(), record.startedAtMillis(), record.state().name());
       }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetMessage.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/FleetMessage.java
@@ -43,7 +43,7 @@
    *
    * @param from the control instance
    * @param region its region
-   * @param inMajority whether it is connected to a majority of the control group
+   * @param inMajority whether it is connected to a quorum of the control group
    * @param discoveryComplete whether it has run long enough to know all endpoints that announce
    *     themselves
    * @param revision the revision of its committed routing state
@@ -133,11 +133,11 @@
   }
 
   /**
-   * An operator order, forwarded to the leader.
+   * An operator order or a read, forwarded to the leader.
    *
    * @param from the control instance that forwards it
    * @param callId identifies it in the reply
-   * @param order the order
+   * @param order the operation
    * @param version the document's version, for {@link ControlOrder#ROUTE}
    * @param argument the document or the failure domain
    * @param baseRevision the routing revision known to that instance when it received the order
@@ -216,7 +216,8 @@
 
   /**
    * An entry's report that an endpoint has prefilled a prompt prefix, which other endpoints may
-   * fetch from its KV cache.
+   * fetch from its KV cache. The name of this message is part of metrics and logs and must not
+   * change.
    *
    * @param endpoint the endpoint's id
    * @param parts the prefilled parts, in order
@@ -250,7 +251,8 @@
   record ServiceLoad(String service, int endpoints, long[] waitMillis, double tokenMillis) {}
 
   /**
-   * A batch of updates that entries exchange, of one entry or merged from several.
+   * A batch of updates that entries exchange, of one entry or merged from several. It is named
+   * after the messages that contain it.
    *
    * @param loads the entries' load at endpoints; a later report of an entry follows its earlier
    *     ones
@@ -278,18 +280,20 @@
   }
 
   /**
-   * An entry's updates, sent to the aggregator of its region.
+   * An entry's updates, sent to the aggregator of its region. The name of this message is part of
+   * metrics and logs and must not change.
    *
    * @param from the entry's name
    * @param region its region
-   * @param urgent whether the other entries need the updates before the next regular digest
+   * @param urgent whether the other entries need the updates before the next regular batch
    * @param news the updates
    */
   record EntryNews(String from, String region, boolean urgent, News news) implements FleetMessage {}
 
   /**
-   * The updates that an aggregator has received since its last digest, sent to the entries of a
-   * region. An empty digest serves as a heartbeat.
+   * The updates that an aggregator has received since its last batch, sent to the entries of a
+   * region. An empty batch serves as a heartbeat. The name of this message is part of metrics and
+   * logs and must not change.
    *
    * @param from the aggregator
    * @param news the updates, including the recipient's own
@@ -298,7 +302,7 @@
 
   /**
    * The updates that concern other regions, sent by an aggregator to the aggregators of those
-   * regions.
+   * regions. The name of this message is part of metrics and logs and must not change.
    *
    * @param region the region that the updates come from
    * @param news prefixes, the region's load and quota usage
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/StateLease.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/StateLease.java
@@ -6,9 +6,10 @@
 import org.lacewingcroft.misc.BoundedMap;
 
 /**
- * A lease on the routing state that an instance holds. The instance requests the state repeatedly;
- * a reply that reports no newer state confirms the held state for a limited time from when the
- * request was sent, not from when the reply arrived, since replies may be delayed.
+ * A lease on the routing state that an instance holds. The instance sends reports ({@link
+ * FleetMessage.EntryReport}) repeatedly; a reply ({@link FleetMessage.ControlPulse}) with the
+ * report's id that contains no newer revision confirms the held state for a limited time from when
+ * the report was sent, not from when the reply arrived, since replies may be delayed.
  *
  * <p>The monotonic clock does not advance while the machine is suspended, but the wall clock does.
  * A difference between the two therefore invalidates earlier confirmations.
@@ -22,12 +23,12 @@
    */
   private static final Duration MAX_CLOCK_DIFFERENCE = Duration.ofMillis(500);
 
-  /** Maximum number of retained requests that have no reply yet. */
-  private static final int MAX_OPEN_REQUESTS = 64;
+  /** Maximum number of retained reports that have no reply yet. */
+  private static final int MAX_OPEN_REPORTS = 64;
 
   private final Duration validity;
-  private final Map<Long, Clocks> openRequests = BoundedMap.evictingOldest(MAX_OPEN_REQUESTS);
-  private long lastRequestId;
+  private final Map<Long, Clocks> openReports = BoundedMap.evictingOldest(MAX_OPEN_REPORTS);
+  private long lastReportId;
   private Clocks confirmedAt = new Clocks(Instant.MIN, Instant.MIN);
 
   /**
@@ -53,18 +54,21 @@
     this.validity = validity;
   }
 
-  /** Records that a request is sent and returns its id, a positive number. */
-  public long startRequest(Clocks now) {
-    lastRequestId++;
-    openRequests.put(lastRequestId, now);
-    return lastRequestId;
+  /** Records that a report is sent and returns its id, a positive number. */
+  public long startReport(Clocks now) {
+    lastReportId++;
+    openReports.put(lastReportId, now);
+    return lastReportId;
   }
 
-  /** Records a reply that reports no newer state than the instance has. */
-  public void confirm(long requestId) {
-    Clocks requestedAt = openRequests.get(requestId);
-    if (requestedAt != null && requestedAt.monotonic.isAfter(confirmedAt.monotonic)) {
-      confirmedAt = requestedAt;
+  /**
+   * Records a reply that contains no newer revision than that of the instance's state. An unknown
+   * id is ignored.
+   */
+  public void confirm(long reportId) {
+    Clocks sentAt = openReports.get(reportId);
+    if (sentAt != null && sentAt.monotonic.isAfter(confirmedAt.monotonic)) {
+      confirmedAt = sentAt;
     }
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/UpdateBuffer.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/UpdateBuffer.java
@@ -13,31 +13,31 @@
 import org.lacewingcroft.fleet.FleetMessage.RegionLoad;
 
 /**
- * Buffers updates for the next digest to a region's entries: a later complete load report of an
+ * Buffers updates for the next batch to a region's entries: a later complete load report of an
  * entry replaces its earlier reports, a later load of a region replaces the earlier one, and quota
  * usage is summed.
  *
  * <p>Not thread-safe: confined to the instance's event loop thread.
  */
 public final class UpdateBuffer {
-  /** Minimum interval between two digests, about the time in which a short prompt is prefilled. */
-  private static final Duration DIGEST_INTERVAL = Duration.ofMillis(120);
+  /** Minimum interval between two batches, about the time in which a short prompt is prefilled. */
+  private static final Duration BATCH_INTERVAL = Duration.ofMillis(120);
 
   /**
-   * Minimum interval before a digest with urgent updates, so that a burst of them causes few
-   * digests.
+   * Minimum interval before a batch with urgent updates, so that a burst of them causes few
+   * batches.
    */
-  private static final Duration URGENT_DIGEST_INTERVAL = Duration.ofMillis(40);
+  private static final Duration URGENT_BATCH_INTERVAL = Duration.ofMillis(40);
 
-  /** Interval after which an empty digest is sent as a heartbeat. */
-  private static final Duration IDLE_DIGEST_INTERVAL = Duration.ofMillis(480);
+  /** Interval after which an empty batch is sent as a heartbeat. */
+  private static final Duration IDLE_BATCH_INTERVAL = Duration.ofMillis(480);
 
   private final List<LoadReport> loads = new ArrayList<>();
   private final List<PrefixRead> prefixes = new ArrayList<>();
   private final List<RegionLoad> regionLoads = new ArrayList<>();
   private final Map<String, Long> quotaUsage = new HashMap<>();
   private boolean urgent;
-  private Instant lastDigestAt = Instant.EPOCH;
+  private Instant lastBatchAt = Instant.EPOCH;
 
   /** Adds updates. */
   public void add(News updates, boolean updatesAreUrgent) {
@@ -56,9 +56,9 @@
     urgent |= updatesAreUrgent;
   }
 
-  /** Removes and returns the updates for a digest if one is due; they may be empty. */
+  /** Removes and returns the updates for a batch if one is due; they may be empty. */
   public Optional<News> drainIfDue(Instant now) {
-    if (lastDigestAt.plus(digestInterval()).isAfter(now)) {
+    if (lastBatchAt.plus(batchInterval()).isAfter(now)) {
       return Optional.empty();
     }
     final News updates =
@@ -72,16 +72,16 @@
     regionLoads.clear();
     quotaUsage.clear();
     urgent = false;
-    lastDigestAt = now;
+    lastBatchAt = now;
     return Optional.of(updates);
   }
 
-  private Duration digestInterval() {
+  private Duration batchInterval() {
     if (urgent) {
-      return URGENT_DIGEST_INTERVAL;
+      return URGENT_BATCH_INTERVAL;
     }
     boolean empty =
         loads.isEmpty() && prefixes.isEmpty() && regionLoads.isEmpty() && quotaUsage.isEmpty();
-    return empty ? IDLE_DIGEST_INTERVAL : DIGEST_INTERVAL;
+    return empty ? IDLE_BATCH_INTERVAL : BATCH_INTERVAL;
   }
 }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/FleetQuotas.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/FleetQuotas.java
@@ -53,8 +53,8 @@
     private Instant lastRefillAt;
     private long unreportedUsage;
 
-    /** Usage reported to the aggregator that no fleet usage received from it includes yet. */
-    private long pendingReportedUsage;
+    /** Usage sent to the aggregator but not yet contained in the totals received from it. */
+    private long unconfirmedUsage;
 
     private double peerUsagePerSecond;
     private double peerUsageSinceRateUpdate;
@@ -146,7 +146,7 @@
         (name, account) -> {
           if (account.unreportedUsage != 0) {
             usage.put(name, account.unreportedUsage);
-            account.pendingReportedUsage += account.unreportedUsage;
+            account.unconfirmedUsage += account.unreportedUsage;
             account.unreportedUsage = 0;
           }
         });
@@ -163,9 +163,9 @@
     fleetUsage.forEach(
         (name, total) -> {
           Account account = accounts.get(name);
-          long own = account == null ? 0 : Math.min(total, account.pendingReportedUsage);
+          long own = account == null ? 0 : Math.min(total, account.unconfirmedUsage);
           if (account != null) {
-            account.pendingReportedUsage -= own;
+            account.unconfirmedUsage -= own;
           }
           peerUsage.put(name, total - own);
         });
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/RetryBudget.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/limit/RetryBudget.java
@@ -4,7 +4,9 @@
 
 /**
  * Limits retries (including hedges) to a fraction of the requests, so that retries cannot multiply
- * the load on endpoints that fail because they are overloaded.
+ * the load on endpoints that fail because they are overloaded. Each instance has its own budget;
+ * {@link org.lacewingcroft.placement.ExtraSendBudget} limits the extra sends of a service over all
+ * entries together.
  */
 public final class RetryBudget {
   private final double retriesPerRequest;
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/EndpointTracker.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/EndpointTracker.java
@@ -97,9 +97,15 @@
   private final double[] prefillTokensPerMilli = new double[PRIORITY_COUNT];
 
   private double serviceTimeMillis = INITIAL_SERVICE_TIME_MILLIS;
-  private double failureScore;
+
+  /** The failure score at the time of the last failure. */
+  private double scoreAtLastFailure;
+
   private Instant lastFailureAt = Instant.EPOCH;
+
+  /** When a byte last arrived, or a request was sent while none was in flight, if that is later. */
   private Instant lastByteAt = Instant.EPOCH;
+
   private Instant connectBackoffUntil = Instant.EPOCH;
   private int connectFailures;
   private Instant lastColdRequestAt = Instant.EPOCH;
@@ -366,22 +372,23 @@
   }
 
   private void recordFailure(double weight, Instant now) {
-    failureScore = failureScore(now) + weight;
+    scoreAtLastFailure = failureScore(now) + weight;
     lastFailureAt = now;
   }
 
   private double failureScore(Instant now) {
-    if (failureScore == 0) {
+    if (scoreAtLastFailure == 0) {
       return 0;
     }
     double millis = Duration.between(lastFailureAt, now).toMillis();
-    return failureScore * Math.pow(0.5, Math.min(100, millis / FAILURE_HALF_LIFE_MILLIS));
+    return scoreAtLastFailure * Math.pow(0.5, Math.min(100, millis / FAILURE_HALF_LIFE_MILLIS));
   }
 
   /**
-   * Returns the number of failures, each with a weight that decreases exponentially with its age.
+   * Returns the failure score: the sum of the weights of all recorded failures, each of which
+   * halves every {@link #FAILURE_HALF_LIFE_MILLIS}.
    */
-  public double recentFailures(Instant now) {
+  public double recentFailureScore(Instant now) {
     return failureScore(now);
   }
 
@@ -452,11 +459,13 @@
    * behind them from 0.6 s to 2.5 s.
    */
   public boolean isPrefixSource(Instant now) {
-    return acceptsRequests(now) && !isSuspect(now) && failureScore(now) < MAX_SOURCE_FAILURE_SCORE;
+    return acceptsRequests(now)
+        && !isUnresponsiveOrInBackoff(now)
+        && failureScore(now) < MAX_SOURCE_FAILURE_SCORE;
   }
 
   /** Returns whether the endpoint is unresponsive or in backoff after an unresponsive period. */
-  public boolean isSuspect(Instant now) {
+  public boolean isUnresponsiveOrInBackoff(Instant now) {
     return isUnresponsive(now) || unresponsiveBackoffUntil.isAfter(now);
   }
 
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/ExtraSendBudget.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/ExtraSendBudget.java
@@ -9,9 +9,11 @@
 
 /**
  * Limits extra sends (any send of a request after the first: retry, hedge or relay) of each service
- * over a sliding window. All entries share one budget: each entry may use its part of the fixed
- * slack and the ratio of its own requests, but uses only {@link #USED_SHARE} of both, so that the
- * limit also holds while entries disagree on the number of entries.
+ * over a sliding window. All entries share one budget: each entry may use an equal part of a fixed
+ * allowance (the slack) plus a fixed ratio of its own requests, but uses only {@link #USED_SHARE}
+ * of both, so that the limit also holds while entries disagree on the number of entries. In
+ * contrast, a {@link org.lacewingcroft.limit.RetryBudget} limits the retries and hedges of one
+ * instance.
  *
  * <p>Not thread-safe: confined to the entry's event loop thread.
  */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/OutputTokenTime.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/OutputTokenTime.java
@@ -8,10 +8,10 @@
  * responses.
  *
  * <p>While an engine prefills prompts, each of its streams produces one token per prefill chunk. A
- * response that takes 8 ms per token on an idle engine takes 60 ms per token on one that prefills
- * continuously, and a long response then misses its deadline although its first event was early.
- * Designed for a peak in one region while another is at its trough: judged by the time to the first
- * byte alone, both would be acceptable.
+ * response that takes 8 ms per token on an idle engine takes 60 ms per token on an engine that
+ * prefills continuously. A long response then misses its deadline even if its first event arrives
+ * early. Designed for a peak in one region while another region is at its trough: by the time to
+ * the first byte alone, both regions would appear acceptable.
  *
  * <p>Not thread-safe: confined to the entry's event loop thread.
  */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placement.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placement.java
@@ -59,8 +59,10 @@
   /**
    * The waits on which a refusal is based.
    *
-   * @param localWaitMillis the shortest wait in this region, if it has a usable endpoint
-   * @param remoteWaitMillis the shortest wait reported by another region that may run the request
+   * @param localWaitMillis the wait at this region's endpoint with the lowest score, if it has a
+   *     usable endpoint
+   * @param remoteWaitMillis the wait in the other region with the lowest estimated response time,
+   *     if one is usable
    * @param maxWaitMillis the longest wait with which the request would have been accepted
    */
   record RefusalDetails(
@@ -68,9 +70,15 @@
 
   /** The reason why a request is refused. */
   enum Reason {
-    /** No usable endpoint that may run the request is registered. */
+    /**
+     * No endpoint of this region and no other region is usable for the request, and no endpoint of
+     * this region is limited by its rate limit or by a pause that it requested.
+     */
     NO_ENDPOINT,
-    /** Every endpoint that may run the request has reached its rate limit or requested a pause. */
+    /**
+     * No endpoint of this region and no other region is usable for the request, and at least one
+     * endpoint of this region is limited by its rate limit or by a pause that it requested.
+     */
     PACED,
     /**
      * The wait exceeds what the caller's objective allows in every region that may run the request.
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PlacementMechanism.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PlacementMechanism.java
@@ -15,7 +15,10 @@
   TOKEN_PACE,
   /** A starting entry requests the lists of cached prefixes from its region's endpoints. */
   PREFIX_LISTING,
-  /** Endpoints that were unresponsive are avoided until they send a byte again. */
+  /**
+   * Endpoints that were unresponsive when a request ended are avoided for a backoff time, or until
+   * they send a byte if that is earlier.
+   */
   SILENCE_MEMORY;
 
   /**
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placer.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placer.java
@@ -235,7 +235,7 @@
 
   private static boolean isUnresponsive(EndpointTracker endpoint, Context context, Instant now) {
     return context.uses(PlacementMechanism.SILENCE_MEMORY)
-        ? endpoint.isSuspect(now)
+        ? endpoint.isUnresponsiveOrInBackoff(now)
         : endpoint.isUnresponsive(now);
   }
 
@@ -272,10 +272,10 @@
           boundRetryAfter(retryDelay.orElse(Duration.ofSeconds(1)), request),
           details);
     }
-    double shortestWait =
+    double shorterWait =
         Math.min(localWait.orElse(Double.MAX_VALUE), remoteWait.orElse(Double.MAX_VALUE));
     Duration retryDelay =
-        Duration.ofMillis(Math.round(Math.min(10_000, shortestWait - maxWait / 2)));
+        Duration.ofMillis(Math.round(Math.min(10_000, shorterWait - maxWait / 2)));
     return new Placement.Refused(
         Placement.Reason.OVERLOADED, boundRetryAfter(retryDelay, request), details);
   }
@@ -351,7 +351,7 @@
                     0,
                     firstByteMillis
                         - SAFE_OBJECTIVE_SHARE * request.firstByteObjective().toMillis())
-            + FAILURE_PENALTY_MILLIS * endpoint.recentFailures(now)
+            + FAILURE_PENALTY_MILLIS * endpoint.recentFailureScore(now)
             + (firstInRank ? 0 : RANK_PENALTY_MILLIS);
     return new ScoredEndpoint(endpoint, prefillMillis, firstByteMillis, score, fetch);
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PrefillQueue.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/PrefillQueue.java
@@ -14,8 +14,9 @@
  * <p>An engine prefills one prompt at a time to completion, and then the most urgent waiting one.
  * So an urgent request waits for all prompts of at least the same urgency and for the remainder of
  * the prompt in progress, however low its priority: a short prompt behind one of 30,000 tokens
- * waits for a third of a second. For 1,429 short requests of one day, the times to the first byte
- * correlate at 0.37 with a model without that remainder and at 0.87 with one that includes it.
+ * waits for a third of a second. Over one day's 1,429 short requests, the time to the first byte
+ * has a correlation of 0.37 with an estimate that omits that remainder, and of 0.87 with one that
+ * includes it.
  *
  * <p>Not thread-safe: confined to the entry's event loop thread.
  */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/EndpointCrash.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/EndpointCrash.java
@@ -8,8 +8,9 @@
  *
  * @param incarnation the incarnation that crashed, as {@code id@start}
  * @param age the time since the crash
- * @param detectedByTimeout whether the endpoint only became unresponsive, so that the time of the
- *     crash is approximate
+ * @param detectedByTimeout whether the crash was not observed as a lost connection, because the
+ *     endpoint only became unresponsive or the run had been abandoned before; the time of the crash
+ *     is then approximate
  */
 public record EndpointCrash(String incarnation, Duration age, boolean detectedByTimeout) {
   /** Replaces a negative age with zero, because a crash cannot be in the future. */
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/QuarantineTrials.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/QuarantineTrials.java
@@ -55,6 +55,8 @@
   }
 
   private static boolean isDue(Suspicion suspicion) {
+    // A quarantined content runs only in trials, so each independent crash beyond the threshold is
+    // counted as a failed trial.
     int failedTrials = suspicion.independentCrashes() - Suspicion.QUARANTINE_THRESHOLD;
     return failedTrials < MAX_FAILED_TRIALS && suspicion.age().compareTo(TRIAL_DELAY) >= 0;
   }
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/SuspicionLedger.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/SuspicionLedger.java
@@ -52,7 +52,7 @@
    */
   private static final int MAX_RETRACTIONS = 1_024;
 
-  private final Map<RequestFingerprint, Evidence> evidenceByContent = new LinkedHashMap<>();
+  private final Map<RequestFingerprint, StoredEvidence> evidenceByContent = new LinkedHashMap<>();
   private final Map<String, Instant> retractedAt = BoundedMap.evictingOldest(MAX_RETRACTIONS);
   private int recurringDigest;
   private int quarantinedDigest;
@@ -68,16 +68,20 @@
     }
   }
 
-  /** The evidence against a content: its crashes by incarnation, and when it was last cleared. */
-  private record Evidence(
+  /**
+   * The stored evidence against a content: its crashes by incarnation, and when it was last
+   * cleared. In contrast to {@link Suspicion}, the form that instances exchange, it contains
+   * instants of this instance's clock instead of ages, and the number of independent crashes.
+   */
+  private record StoredEvidence(
       Map<String, CrashRecord> crashes, Instant clearedAt, int independentCrashes) {
-    private static Evidence of(
+    private static StoredEvidence of(
         RequestFingerprint content,
         Map<String, CrashRecord> crashes,
         Instant clearedAt,
         Instant now) {
-      Evidence uncounted = new Evidence(crashes, clearedAt, 0);
-      return new Evidence(
+      StoredEvidence uncounted = new StoredEvidence(crashes, clearedAt, 0);
+      return new StoredEvidence(
           crashes, clearedAt, uncounted.suspicion(content, now).independentCrashes());
     }
 
@@ -140,13 +144,13 @@
    */
   public Optional<Suspicion> merge(Suspicion suspicion, Instant now) {
     RequestFingerprint content = suspicion.content();
-    Optional<Evidence> existing = Optional.ofNullable(evidenceByContent.get(content));
-    Instant existingClearedAt = existing.map(Evidence::clearedAt).orElse(Instant.MIN);
+    Optional<StoredEvidence> existing = Optional.ofNullable(evidenceByContent.get(content));
+    Instant existingClearedAt = existing.map(StoredEvidence::clearedAt).orElse(Instant.MIN);
     Instant receivedClearedAt = suspicion.clearedAge().map(now::minus).orElse(Instant.MIN);
     Instant clearedAt =
         existingClearedAt.isAfter(receivedClearedAt) ? existingClearedAt : receivedClearedAt;
     Map<String, CrashRecord> crashes =
-        new TreeMap<>(existing.map(Evidence::crashes).orElse(Map.of()));
+        new TreeMap<>(existing.map(StoredEvidence::crashes).orElse(Map.of()));
     for (EndpointCrash crash : suspicion.crashes()) {
       crashes.merge(
           crash.incarnation(),
@@ -155,7 +159,7 @@
     }
     crashes.entrySet().removeIf(e -> isInvalidated(e.getKey(), e.getValue(), clearedAt));
     evictOldestCrashes(crashes);
-    Evidence merged = Evidence.of(content, crashes, clearedAt, now);
+    StoredEvidence merged = StoredEvidence.of(content, crashes, clearedAt, now);
     if (merged.isEmpty() || !merged.isRetained(now)) {
       return Optional.empty();
     }
@@ -184,17 +188,19 @@
   public void retractCrash(String incarnation, Instant now) {
     retractedAt.remove(incarnation);
     retractedAt.put(incarnation, now);
-    for (Map.Entry<RequestFingerprint, Evidence> entry : Map.copyOf(evidenceByContent).entrySet()) {
-      Evidence evidence = entry.getValue();
+    for (Map.Entry<RequestFingerprint, StoredEvidence> entry :
+        Map.copyOf(evidenceByContent).entrySet()) {
+      StoredEvidence evidence = entry.getValue();
       if (evidence.crashes().containsKey(incarnation)) {
         Map<String, CrashRecord> crashes = new TreeMap<>(evidence.crashes());
         crashes.remove(incarnation);
-        replace(entry.getKey(), Evidence.of(entry.getKey(), crashes, evidence.clearedAt(), now));
+        replace(
+            entry.getKey(), StoredEvidence.of(entry.getKey(), crashes, evidence.clearedAt(), now));
       }
     }
   }
 
-  private void replace(RequestFingerprint content, Evidence evidence) {
+  private void replace(RequestFingerprint content, StoredEvidence evidence) {
     remove(content);
     if (!evidence.isEmpty()) {
       evidenceByContent.put(content, evidence);
@@ -203,13 +209,13 @@
   }
 
   private void remove(RequestFingerprint content) {
-    Evidence removed = evidenceByContent.remove(content);
+    StoredEvidence removed = evidenceByContent.remove(content);
     if (removed != null) {
       updateDigests(content, removed, -1);
     }
   }
 
-  private void updateDigests(RequestFingerprint content, Evidence evidence, int sign) {
+  private void updateDigests(RequestFingerprint content, StoredEvidence evidence, int sign) {
     if (evidence.independentCrashes() >= RECURRING_THRESHOLD) {
       recurringDigest += sign * evidence.digest(content);
     }
@@ -228,7 +234,7 @@
     }
     RequestFingerprint candidate = null;
     int fewestCrashes = Integer.MAX_VALUE;
-    for (Map.Entry<RequestFingerprint, Evidence> entry : evidenceByContent.entrySet()) {
+    for (Map.Entry<RequestFingerprint, StoredEvidence> entry : evidenceByContent.entrySet()) {
       int crashes = entry.getValue().independentCrashes();
       if (crashes < fewestCrashes) {
         candidate = entry.getKey();
@@ -244,10 +250,10 @@
   /** Removes contents and retractions that are older than the retention time. */
   public void expire(Instant now) {
     retractedAt.values().removeIf(at -> !at.isAfter(now.minus(RETENTION)));
-    Iterator<Map.Entry<RequestFingerprint, Evidence>> iterator =
+    Iterator<Map.Entry<RequestFingerprint, StoredEvidence>> iterator =
         evidenceByContent.entrySet().iterator();
     while (iterator.hasNext()) {
-      Map.Entry<RequestFingerprint, Evidence> entry = iterator.next();
+      Map.Entry<RequestFingerprint, StoredEvidence> entry = iterator.next();
       if (!entry.getValue().isRetained(now)) {
         iterator.remove();
         updateDigests(entry.getKey(), entry.getValue(), -1);
@@ -255,21 +261,21 @@
     }
   }
 
-  /** Returns the evidence against a quarantined content, empty if it is not quarantined. */
-  public Optional<Suspicion> quarantined(RequestFingerprint content, Instant now) {
+  /** Returns the evidence against a content, empty if it is not quarantined. */
+  public Optional<Suspicion> quarantineEvidence(RequestFingerprint content, Instant now) {
     return Optional.ofNullable(evidenceByContent.get(content))
         .filter(e -> e.independentCrashes() >= Suspicion.QUARANTINE_THRESHOLD && e.isRetained(now))
         .map(e -> e.suspicion(content, now));
   }
 
   /** Returns the evidence against all quarantined contents. */
-  public List<Suspicion> quarantined(Instant now) {
+  public List<Suspicion> allQuarantineEvidence(Instant now) {
     return suspicions(e -> e.independentCrashes() >= Suspicion.QUARANTINE_THRESHOLD, now);
   }
 
   /** Returns the remaining time of a content's quarantine, empty if it is not quarantined. */
   public Optional<Duration> remainingQuarantine(RequestFingerprint content, Instant now) {
-    return quarantined(content, now).map(s -> RETENTION.minus(s.age()));
+    return quarantineEvidence(content, now).map(s -> RETENTION.minus(s.age()));
   }
 
   /**
@@ -282,7 +288,7 @@
     return suspicions(e -> e.independentCrashes() >= minCrashes || e.wasCleared(), now);
   }
 
-  private List<Suspicion> suspicions(Predicate<Evidence> filter, Instant now) {
+  private List<Suspicion> suspicions(Predicate<StoredEvidence> filter, Instant now) {
     return evidenceByContent.entrySet().stream()
         .filter(e -> filter.test(e.getValue()))
         .map(e -> e.getValue().suspicion(e.getKey(), now))
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/AggregatorSelectorTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/AggregatorSelectorTest.java
@@ -21,9 +21,9 @@
    * The behaviour of a control instance, in steps of 100 ms.
    *
    * @param heartbeatsUntil the step from which it sends no heartbeats
-   * @param digestsUntil the step from which it sends no digests
+   * @param batchesUntil the step from which it sends no batches
    */
-  private record Control(String address, String region, int heartbeatsUntil, int digestsUntil) {
+  private record Control(String address, String region, int heartbeatsUntil, int batchesUntil) {
     private static Control healthy(String address, String region) {
       return new Control(address, region, 100, 100);
     }
@@ -34,8 +34,8 @@
     Control alsoNear = Control.healthy("10.0.0.2:7", "north");
     Control far = Control.healthy("10.0.0.0:7", "south");
     Control crashes = new Control("10.0.0.1:7", "north", 10, 10);
-    Control neverSendsDigests = new Control("10.0.0.1:7", "north", 100, 0);
-    Control stopsSendingDigests = new Control("10.0.0.1:7", "north", 100, 20);
+    Control neverSendsBatches = new Control("10.0.0.1:7", "north", 100, 0);
+    Control stopsSendingBatches = new Control("10.0.0.1:7", "north", 100, 20);
     return Stream.of(
         Arguments.of("no control instance has sent a heartbeat", List.of(), 5, Optional.empty()),
         Arguments.of(
@@ -47,14 +47,14 @@
         Arguments.of("one of another region after a crash", List.of(crashes, far), 30, name(far)),
         Arguments.of("none after the last one crashes", List.of(crashes), 30, Optional.empty()),
         Arguments.of(
-            "not one that never sends digests", List.of(neverSendsDigests, far), 20, name(far)),
+            "not one that never sends batches", List.of(neverSendsBatches, far), 20, name(far)),
         Arguments.of(
-            "not one that stops sending digests", List.of(stopsSendingDigests, far), 35, name(far)),
+            "not one that stops sending batches", List.of(stopsSendingBatches, far), 35, name(far)),
         Arguments.of(
             "selected again after the backoff",
-            List.of(neverSendsDigests, far),
+            List.of(neverSendsBatches, far),
             41,
-            name(neverSendsDigests)));
+            name(neverSendsBatches)));
   }
 
   private static Optional<String> name(Control control) {
@@ -63,7 +63,7 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("cases")
-  void selectsBestCandidateThatSendsDigests(
+  void selectsBestCandidateThatSendsBatches(
       String name, List<Control> controls, int steps, Optional<String> expected) {
     AggregatorSelector selector = new AggregatorSelector("north");
     Optional<String> selected = Optional.empty();
@@ -73,8 +73,8 @@
         if (step < control.heartbeatsUntil()) {
           selector.onHeartbeat(control.address(), control.region(), now);
         }
-        if (step < control.digestsUntil()) {
-          selector.onDigest(control.address());
+        if (step < control.batchesUntil()) {
+          selector.onBatch(control.address());
         }
       }
       selected = selector.select(now);
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/StateLeaseTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/StateLeaseTest.java
@@ -26,7 +26,7 @@
 
   static Stream<Arguments> checks() {
     return Stream.of(
-        Arguments.of("immediately after the request", 0, 0, true),
+        Arguments.of("immediately after the report", 0, 0, true),
         Arguments.of("just before it expires", 2_999, 0, true),
         Arguments.of("when it expires", 3_000, 0, false),
         Arguments.of("small clock drift", 1_000, 100, true),
@@ -36,10 +36,10 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("checks")
-  void isValidForLimitedTimeFromRequest(
+  void isValidForLimitedTimeFromReport(
       String name, long passedMillis, long stepMillis, boolean valid) {
     StateLease lease = new StateLease(VALIDITY);
-    lease.confirm(lease.startRequest(at(100, 0)));
+    lease.confirm(lease.startReport(at(100, 0)));
     assertThat(lease.isValid(at(100 + passedMillis, stepMillis)), is(valid));
   }
 
@@ -47,17 +47,17 @@
   void isExpiredUntilFirstReply() {
     StateLease lease = new StateLease(VALIDITY);
     assertThat(lease.isValid(at(0, 0)), is(false));
-    lease.startRequest(at(0, 0));
+    lease.startReport(at(0, 0));
     lease.confirm(0);
     lease.confirm(99);
     assertThat(lease.isValid(at(0, 0)), is(false));
   }
 
   @Test
-  void delayedReplyConfirmsFromItsRequest() {
+  void delayedReplyConfirmsFromItsReport() {
     StateLease lease = new StateLease(VALIDITY);
-    long early = lease.startRequest(at(0, 0));
-    long late = lease.startRequest(at(2_000, 0));
+    long early = lease.startReport(at(0, 0));
+    long late = lease.startReport(at(2_000, 0));
     lease.confirm(late);
     lease.confirm(early);
     assertThat(lease.isValid(at(4_900, 0)), is(true));
@@ -66,12 +66,12 @@
   }
 
   @Test
-  void replyToRequestFromBeforeSuspensionConfirmsNothing() {
+  void replyToReportFromBeforeSuspensionConfirmsNothing() {
     StateLease lease = new StateLease(VALIDITY);
-    long before = lease.startRequest(at(0, 0));
+    long before = lease.startReport(at(0, 0));
     lease.confirm(before);
     assertThat(lease.isValid(at(10, 5_000)), is(false));
-    lease.confirm(lease.startRequest(at(20, 5_000)));
+    lease.confirm(lease.startReport(at(20, 5_000)));
     assertThat(lease.isValid(at(30, 5_000)), is(true));
   }
 }
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/UpdateBufferTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/fleet/UpdateBufferTest.java
@@ -40,10 +40,10 @@
     return new News(List.of(), List.of(), List.of(new RegionLoad(region, List.of())));
   }
 
-  static Stream<Arguments> digestTimes() {
+  static Stream<Arguments> batchTimes() {
     return Stream.of(
         Arguments.of(
-            "updates wait for the digest interval",
+            "updates wait for the batch interval",
             loadUpdate(report("a", true, 1)),
             false,
             119,
@@ -54,12 +54,12 @@
             true,
             39,
             40),
-        Arguments.of("an empty digest is sent as a heartbeat", News.NONE, false, 479, 480));
+        Arguments.of("an empty batch is sent as a heartbeat", News.NONE, false, 479, 480));
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("digestTimes")
-  void sendsDigestsWhenDue(
+  @MethodSource("batchTimes")
+  void sendsBatchesWhenDue(
       String name, News updates, boolean urgent, long notYetMillis, long dueMillis) {
     UpdateBuffer buffer = new UpdateBuffer();
     buffer.drainIfDue(START);
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/LimitsTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/limit/LimitsTest.java
@@ -57,7 +57,7 @@
 
   @ParameterizedTest
   @CsvSource({"0, 5", "10, 6", "100, 15", "1000, 105"})
-  void withdrawsNoMoreRetriesThanDeposited(int requests, int maxRetries) {
+  void withdrawsNoMoreRetriesThanReserveAndDeposits(int requests, int maxRetries) {
     RetryBudget budget = new RetryBudget(0.1, 5, START);
     int withdrawn = 0;
     for (int i = 0; i < 5; i++) {
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/LoadReplay.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/LoadReplay.java
@@ -77,8 +77,8 @@
     }
 
     /**
-     * Returns the value of the results to the callers, relative to all on time: a late response
-     * counts 0.3, and a request refused twice counts minus 0.3.
+     * Returns the mean value of a request to its caller: 1 for an on-time response, 0.3 for a late
+     * response, and -0.3 for a request that is refused twice.
      */
     double value() {
       return (onTime + 0.3 * late - 0.3 * refused) / sent;
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerLoadTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/PlacerLoadTest.java
@@ -12,13 +12,14 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Tests placement under a region's load: long reviews that share long prefixes alongside short
- * urgent questions, at the rates of a day's trough, peak and overload. Requests arrive in bursts,
- * and refused callers retry once. Several entries exchange reports of their prompts: long ones are
- * reported immediately, the others with a delay.
+ * Tests placement under the load of one region, at the rates of a day's trough, peak and overload.
+ * The load consists of two kinds of request: "review", a long prompt of which a long prefix is
+ * shared with others, and "question", a short urgent prompt. Requests arrive in bursts, and refused
+ * callers retry once. Several entries exchange reports of their prompts: long ones are reported
+ * immediately, the others with a delay.
  */
 class PlacerLoadTest {
-  /** Value of an on-time review to its caller, relative to a question. */
+  /** Value of an on-time response to a "review" to its caller, relative to a "question". */
   private static final double REVIEW_VALUE = 3.7;
 
   private static final Duration DURATION = Duration.ofSeconds(60);
@@ -52,7 +53,7 @@
         new Row("four entries, overload", 4, 0, 1.6, 0.98, 0.62, 0.02, 1_250_000, 0.79));
   }
 
-  /** Schedules: long prompts that share a small number of long contracts. */
+  /** Returns the kind of long prompts that share a small number of long prefixes (documents). */
   private static LoadReplay.RequestKind schedules(double loadFactor) {
     return new LoadReplay.RequestKind(
         "schedule",
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/UnresponsiveEndpointTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/placement/UnresponsiveEndpointTest.java
@@ -17,7 +17,7 @@
 import org.lacewingcroft.placement.EndpointTracker.Outcome;
 
 /**
- * Tests when an endpoint is suspect after its last request ended without a byte of a response.
+ * Tests when an endpoint is avoided after its last request ended without a byte of a response.
  * Guards against an unresponsive endpoint that looks idle again, and so receives all new requests,
  * once its requests have been cancelled.
  */
@@ -31,7 +31,7 @@
       String name,
       BiConsumer<EndpointTracker, InFlightRequest> events,
       long atMillis,
-      boolean suspect,
+      boolean unresponsiveOrInBackoff,
       boolean unconfirmed) {
     @Override
     public String toString() {
@@ -78,14 +78,16 @@
 
   @ParameterizedTest
   @MethodSource("rows")
-  void isSuspectUntilItResponds(Row row) {
+  void isUnresponsiveOrInBackoffUntilItResponds(Row row) {
     EndpointTracker endpoint =
         new EndpointTracker(
             new EndpointRecord("e", 0, "s", "10.0.0.1:1", "a", 8, EndpointState.READY, 1, 0),
             START);
     InFlightRequest request = startRequest(endpoint, START);
     row.events().accept(endpoint, request);
-    assertThat(endpoint.isSuspect(at(row.atMillis())), equalTo(row.suspect()));
+    assertThat(
+        endpoint.isUnresponsiveOrInBackoff(at(row.atMillis())),
+        equalTo(row.unresponsiveOrInBackoff()));
     assertThat(endpoint.isUnconfirmed(), equalTo(row.unconfirmed()));
   }
 
--- a/lacewingcroft-kernel/src/test/java/org/lacewingcroft/quarantine/SuspicionLedgerTest.java
+++ b/lacewingcroft-kernel/src/test/java/org/lacewingcroft/quarantine/SuspicionLedgerTest.java
@@ -24,7 +24,11 @@
 import org.lacewingcroft.quarantine.IncompleteRuns.Kind;
 import org.lacewingcroft.request.RequestFingerprint;
 
-/** Tests which evidence quarantines a content, and how instances merge and expire it. */
+/**
+ * Tests which evidence quarantines a content, and how instances merge and expire it. Also tests the
+ * classes that provide or retract the evidence: {@link RecentCompletions} and {@link
+ * IncompleteRuns}.
+ */
 class SuspicionLedgerTest {
   private static final Instant NOW = Instant.ofEpochSecond(1_000_000);
   private static final RequestFingerprint CONTENT = new RequestFingerprint(7);
@@ -71,10 +75,13 @@
     assertThat(
         ledger.withCrashesOrCleared(Suspicion.QUARANTINE_THRESHOLD, NOW),
         hasSize(quarantined ? 1 : 0));
-    assertThat(ledger.quarantined(NOW), hasSize(quarantined ? 1 : 0));
+    assertThat(ledger.allQuarantineEvidence(NOW), hasSize(quarantined ? 1 : 0));
   }
 
-  /** Simultaneous crashes have a common cause, independent of what the endpoints were running. */
+  /**
+   * Cases of crashes of one content. Simultaneous crashes are assumed to have a common cause,
+   * independent of what the endpoints were running.
+   */
   static Stream<Arguments> crashTimings() {
     Duration window = Duration.ofMillis(100);
     return Stream.of(
@@ -100,7 +107,7 @@
   @Test
   void clearedContentIsQuarantinedOnlyAfterNewCrashes() {
     SuspicionLedger ledger = ledger("a", "b", "c");
-    Suspicion earlier = ledger.quarantined(NOW).get(0);
+    Suspicion earlier = ledger.allQuarantineEvidence(NOW).get(0);
     Instant now = NOW.plusSeconds(1);
     ledger.merge(Suspicion.cleared(CONTENT), now);
     ledger.merge(earlier.agedBy(Duration.ofSeconds(5)), NOW.plusSeconds(5));
@@ -115,7 +122,7 @@
   @Test
   void retractedCrashIsNotEvidence() {
     SuspicionLedger ledger = ledger("a", "b", "c");
-    Suspicion earlier = ledger.quarantined(NOW).get(0);
+    Suspicion earlier = ledger.allQuarantineEvidence(NOW).get(0);
     ledger.retractCrash("b", NOW.plusSeconds(1));
     ledger.merge(earlier.agedBy(Duration.ofSeconds(2)), NOW.plusSeconds(2));
     assertThat(ledger.remainingQuarantine(CONTENT, NOW.plusSeconds(2)).isPresent(), is(false));
@@ -137,7 +144,7 @@
   @Test
   void expiredEvidenceIsNotMerged() {
     Suspicion expired =
-        ledger("a", "b", "c").quarantined(NOW).get(0).agedBy(SuspicionLedger.RETENTION);
+        ledger("a", "b", "c").allQuarantineEvidence(NOW).get(0).agedBy(SuspicionLedger.RETENTION);
     SuspicionLedger ledger = new SuspicionLedger();
     assertThat(ledger.merge(expired, NOW).isPresent(), is(false));
     assertThat(ledger.size(), is(0));
@@ -161,7 +168,7 @@
       ledger.merge(suspicion(CONTENT, endpoint), NOW);
     }
     ledger.merge(suspicion(CONTENT, "later"), NOW.plus(CRASH_INTERVAL));
-    Suspicion suspicion = ledger.quarantined(NOW.plus(CRASH_INTERVAL)).get(0);
+    Suspicion suspicion = ledger.allQuarantineEvidence(NOW.plus(CRASH_INTERVAL)).get(0);
     assertThat(suspicion.crashes(), hasSize(SuspicionLedger.MAX_CRASHES_PER_CONTENT));
     assertThat(suspicion.crashedIncarnations(), hasItem("later"));
   }
@@ -173,18 +180,22 @@
             "different recurring evidence", ledger("a", "b"), ledger("a", "c"), false, true),
         Arguments.of("different order", ledger("a", "b", "c"), ledger("c", "b", "a"), true, true),
         Arguments.of(
-            "different evidence for quarantine",
+            "both quarantined, by crashes of different endpoints",
             ledger("a", "b", "c"),
             ledger("d", "e", "f"),
             true,
             true),
         Arguments.of(
-            "quarantined and recurring", ledger("a", "b", "c"), ledger("a", "b"), false, false));
+            "one quarantined, one only recurring",
+            ledger("a", "b", "c"),
+            ledger("a", "b"),
+            false,
+            false));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("digests")
-  void digestsDifferIfEvidenceDiffers(
+  void digestsDifferOnlyIfRelevantEvidenceDiffers(
       String name,
       SuspicionLedger one,
       SuspicionLedger other,
