--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/AnswerRelay.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/AnswerRelay.java
@@ -8,14 +8,19 @@
 import org.lacewingcroft.metrics.GatewayMetrics;
 
 /**
- * Relays one answer to the caller as it arrives, no faster than the caller reads it. For a request
- * with a claimed key the answer is also kept, and recorded before the caller sees its end; it is
- * read to the end even if the caller leaves.
+ * Relays one upstream response to the caller as it arrives, with back pressure from the caller.
+ *
+ * <p>The response to a request with a claimed idempotency key is also buffered and is recorded
+ * before the caller receives its end. It is read to the end without back pressure, even if the
+ * caller disconnects.
  */
 final class AnswerRelay {
   private static final System.Logger LOG = System.getLogger(AnswerRelay.class.getName());
   private static final int SERVER_ERROR = 500;
+
+  /** Bound on the buffered body; a key whose response is longer gets an unknown outcome. */
   private static final int MAX_KEPT_BYTES = 1024 * 1024;
+
   private static final List<String> RELAYED_HEADERS =
       List.of(
           "Content-Type",
@@ -34,7 +39,7 @@
   private final Optional<Buffer> kept;
   private boolean firstByteRelayed;
 
-  /** Makes the relay of one answer. */
+  /** Creates the relay of one response. */
   interface Factory {
     AnswerRelay create(Exchange exchange, Attempt attempt, HttpClientResponse answer);
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/Attempt.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/Attempt.java
@@ -3,13 +3,13 @@
 import io.vertx.core.http.HttpClientRequest;
 import java.util.Optional;
 
-/** One send of a request to an endpoint, or to another entry. */
+/** One attempt to send a request to an endpoint or to another entry. */
 final class Attempt {
-  /** Whom a request is sent to. */
+  /** The kind of target that a request is sent to. */
   enum Kind {
-    /** An endpoint, which may run it. */
+    /** An endpoint, which may run the request. */
     ENDPOINT,
-    /** The entry of this region that owns the request's key. */
+    /** The entry of this region that owns the request's idempotency key. */
     KEY_OWNER,
     /** An entry of another region. */
     OTHER_REGION
@@ -23,12 +23,12 @@
   private boolean live = true;
 
   /**
-   * Begins an attempt.
+   * Creates a live attempt and counts it as in flight if its target is an endpoint.
    *
    * @param target the endpoint's id or the entry's node id
-   * @param targetRegion its region
-   * @param kind whom it is sent to
-   * @param inFlight counts the attempt while it lives
+   * @param targetRegion the target's region
+   * @param kind the kind of target
+   * @param inFlight the counters that include the attempt until it ends
    */
   Attempt(String target, String targetRegion, Kind kind, InFlight inFlight) {
     this.target = target;
@@ -64,7 +64,7 @@
     upstream = Optional.of(request);
   }
 
-  /** Ends the attempt; returns whether it was live. */
+  /** Ends the attempt and returns whether it was live. */
   boolean end() {
     boolean first = live;
     live = false;
@@ -74,7 +74,7 @@
     return first;
   }
 
-  /** Ends the attempt and cuts its connection, so that the target stops working on it. */
+  /** Ends the attempt and resets its upstream request, so that the target stops processing it. */
   void cancel() {
     if (end()) {
       upstream.ifPresent(HttpClientRequest::reset);
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/CallerReply.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/CallerReply.java
@@ -8,7 +8,10 @@
 import org.lacewingcroft.idempotency.IdempotencyTable;
 import org.lacewingcroft.metrics.GatewayMetrics;
 
-/** Gives callers the final answers that do not come from an endpoint, each at once. */
+/**
+ * Immediately sends callers the final responses that do not come from an endpoint: refusals, errors
+ * and replays of recorded responses.
+ */
 final class CallerReply {
   private static final System.Logger LOG = System.getLogger(CallerReply.class.getName());
   private final GatewayMetrics metrics;
@@ -19,15 +22,15 @@
     this.keys = keys;
   }
 
-  /** Refuses a request that has no exchange yet. */
+  /** Refuses a request for which no exchange has been created. */
   void refuse(HttpServerResponse response, ErrorKind kind, String detail) {
     metrics.requests.labelValues(kind.code()).inc();
     ErrorReply.send(response, kind, detail, Optional.empty());
   }
 
   /**
-   * Refuses a request that no endpoint received and gives its key back; if an endpoint may have
-   * received it after all, the outcome is unknown instead.
+   * Refuses a request that no endpoint received and releases its idempotency key. If an endpoint may
+   * have received the request, responds that the outcome is unknown instead.
    */
   void notRun(Exchange exchange, ErrorKind kind, String detail) {
     if (exchange.mayHaveRun()) {
@@ -49,9 +52,9 @@
   }
 
   /**
-   * Refuses a request whose content ends the endpoints that run it.
+   * Refuses a request whose content crashes the endpoints that run it.
    *
-   * @param remaining how long the content is still quarantined
+   * @param remaining how long the content remains quarantined
    */
   void quarantined(Exchange exchange, Duration remaining) {
     comeBackAfter(exchange, remaining);
@@ -61,14 +64,20 @@
         "several endpoints broke off while they had the content " + exchange.content());
   }
 
-  /** Has the refusal that follows say when it is worth coming back. */
+  /**
+   * Sets {@code Retry-After} on the refusal that follows, unless an endpoint may have run the
+   * request or no response can be started any more.
+   */
   void comeBackAfter(Exchange exchange, Duration pause) {
     if (!exchange.mayHaveRun() && !exchange.answered()) {
       ErrorReply.setRetryAfter(exchange.response(), pause);
     }
   }
 
-  /** Ends a request whose endpoint failed after it received the request. */
+  /**
+   * Responds that the outcome of a request is unknown, because its endpoint failed after it received
+   * the request. A response that has already started is aborted.
+   */
   void outcomeUnknown(Exchange exchange, String detail) {
     exchange.claimedKey().ifPresent(keys::markUnknown);
     LOG.log(
@@ -91,8 +100,8 @@
   }
 
   /**
-   * Ends an answer in the middle: an event stream by an error event, any other body by cutting the
-   * connection, so that it cannot be taken for complete.
+   * Aborts a response that has already started: ends an event stream with an error event and resets
+   * the connection of any other body, so that the caller cannot mistake it for a complete response.
    */
   private static void breakOff(Exchange exchange, String detail) {
     HttpServerResponse response = exchange.response();
@@ -106,7 +115,7 @@
     }
   }
 
-  /** Answers a request whose key was found claimed, or could not be claimed. */
+  /** Responds to a request whose idempotency key is already claimed or could not be claimed. */
   void keyTaken(Exchange exchange, KeyAdmission admission) {
     if (admission instanceof KeyAdmission.Replay replay) {
       replay(exchange, replay.record());
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ContentQuarantine.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ContentQuarantine.java
@@ -23,8 +23,9 @@
 import org.lacewingcroft.request.RequestFingerprint;
 
 /**
- * The contents that this entry sends to no endpoint any more, because endpoints broke off under
- * them. Entries tell each other what they see; news that get lost cost further ends of endpoints.
+ * Tracks the request contents that this entry no longer sends to any endpoint, because endpoints
+ * crashed while they ran them. Entries send each other the crashes that they observe; a lost update
+ * can cost further endpoint crashes.
  *
  * <p>Thread-safe: requests are handled on several event loops.
  */
@@ -45,19 +46,19 @@
     this.clock = clock;
   }
 
-  /** Returns how long a content is still quarantined, empty if it may run. */
+  /** Returns how long a content remains quarantined; empty if it may run. */
   synchronized Optional<Duration> remaining(RequestFingerprint content) {
     return ledger.remainingQuarantine(content, clock.instant());
   }
 
-  /** Notes that an endpoint has answered a content in full. */
+  /** Records that an endpoint has returned the complete response to a content. */
   synchronized void completed(RequestFingerprint content) {
     completions.record(content, clock.instant());
   }
 
   /**
-   * Notes that an endpoint closed the connection on which it had a content to run. That speaks
-   * against the content if the endpoint has ended.
+   * Records that an endpoint closed the connection on which it had a content to run. This counts
+   * against the content only if a probe finds that the endpoint has crashed.
    */
   void brokeOff(String endpoint, RequestFingerprint content) {
     Instant brokeOffAt = clock.instant();
@@ -74,7 +75,7 @@
     pending.add(content, verdict);
   }
 
-  /** Returns what a content has to wait for before it may be run. */
+  /** Returns the crash probe that must complete before a content may be run, if there is one. */
   Optional<Future<Boolean>> pending(RequestFingerprint content) {
     return pending.get(content);
   }
@@ -108,15 +109,15 @@
     membership.sendToRandomMembers(update, /* acrossRegions= */ true);
   }
 
-  /** Returns the contents that are quarantined. */
+  /** Returns the quarantined contents. */
   synchronized List<Suspicion> quarantined() {
     return ledger.quarantined(clock.instant());
   }
 
   /**
-   * Lets a content run again at all entries.
+   * Lifts the quarantine of a content at all entries.
    *
-   * @return whether it was quarantined
+   * @return whether the content was quarantined
    */
   boolean lift(RequestFingerprint content) {
     boolean lifted = clear(content, "lifted by an operator");
@@ -132,7 +133,10 @@
         && learn(Suspicion.cleared(content), cause, now);
   }
 
-  /** Takes what another entry has seen; what comes from another region is told in this one. */
+  /**
+   * Merges an update from another entry. What was new in an update from another region is sent on to
+   * the entries of this region.
+   */
   void heard(FleetMessage.SuspicionUpdate update) {
     List<Suspicion> learned = learn(update);
     boolean fromElsewhere =
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/Dispatcher.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/Dispatcher.java
@@ -29,10 +29,12 @@
 import org.lacewingcroft.routing.RouteDecision;
 
 /**
- * Sends a request where the {@link RouteChooser} decides, and once more elsewhere only where that
- * is safe: always while nobody received it, and for idempotent requests after a failure too, until
- * the answer's first byte, as {@link ExtraSends} allows. An idempotent request that waits too long
- * for its answer may be hedged: sent to a second endpoint, the first answer wins.
+ * Sends requests to the targets that {@link RouteChooser} selects.
+ *
+ * <p>A request is sent to another target only where that is safe: always as long as no target has
+ * received it and, if it is idempotent, also after a failure, until the first byte of the response
+ * and within the limits of {@link ExtraSends}. An idempotent request that waits too long for its
+ * response may be hedged: it is sent to a second endpoint, and the first response is used.
  */
 final class Dispatcher {
   private static final System.Logger LOG = System.getLogger(Dispatcher.class.getName());
@@ -154,7 +156,10 @@
         });
   }
 
-  /** Connects an attempt and goes on with it, unless it was cancelled in the meantime. */
+  /**
+   * Opens the upstream request of an attempt and passes it to {@code connected}, unless the attempt
+   * was cancelled in the meantime.
+   */
   private void connect(
       Exchange exchange, Attempt attempt, String url, Consumer<HttpClientRequest> connected) {
     client
@@ -203,7 +208,7 @@
         .onSuccess(answer -> answered(exchange, attempt, upstream, answer));
   }
 
-  /** Handles a target that could not be connected to: nobody received the request. */
+  /** Handles a failure to connect to a target, which therefore has not received the request. */
   private void notSent(Exchange exchange, Attempt attempt, Throwable e) {
     if (!attempt.end()) {
       return;
@@ -252,7 +257,10 @@
     }
   }
 
-  /** Sends an idempotent request once more after a pause, if that is allowed. */
+  /**
+   * Schedules a retry of an idempotent request after a backoff delay, if a retry is allowed, and
+   * returns whether it is.
+   */
   private boolean retryLater(Exchange exchange) {
     Optional<Duration> pause = extraSends.retryPause(exchange);
     pause.ifPresent(p -> vertx.setTimer(Math.max(1, p.toMillis()), id -> send(exchange)));
@@ -303,7 +311,10 @@
     relays.create(exchange, attempt, answer).start();
   }
 
-  /** Returns whether another region refused the request for now, so that a third may be asked. */
+  /**
+   * Returns whether another region temporarily refused the request, so that a third region may be
+   * tried.
+   */
   private static boolean refusedByRegion(Attempt attempt, HttpClientResponse answer) {
     return attempt.kind() == Attempt.Kind.OTHER_REGION
         && answer.statusCode() == ErrorKind.NOT_RUN.httpStatus();
@@ -336,7 +347,8 @@
   }
 
   /**
-   * Sends a request to another entry, marked so that the entry does not pass it on the same way.
+   * Sends a request to another entry, marked so that the receiver does not relay it by the same
+   * kind of hop again.
    */
   void sendToEntry(Exchange exchange, Member target, HopAuthenticator.Hop hop) {
     Attempt.Kind kind =
@@ -345,7 +357,7 @@
     if (faults.isCut(target.info().region())) {
       vertx.setTimer(
           CONNECT_TIMEOUT_MILLIS,
-          id -> notSent(exchange, attempt, new IllegalStateException("the link is cut")));
+          id -> notSent(exchange, attempt, new IllegalStateException("the link is cut by fault injection")));
       return;
     }
     String url = "http://" + target.info().httpAddress() + exchange.context().request().path();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/EndpointRegistry.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/EndpointRegistry.java
@@ -19,13 +19,13 @@
 import org.lacewingcroft.error.GatewayException;
 
 /**
- * The endpoints one entry daemon knows, from announcements made to it and relayed by its region's
- * peers. The directory is an immutable snapshot behind an {@link AtomicReference}.
+ * Holds the endpoints known to one entry daemon, from announcements that it received itself and
+ * announcements relayed by peers of its region. The directory is an immutable snapshot behind an {@link AtomicReference}.
  *
  * <p>An announcement is a JSON object: {@code id}, {@code url}, {@code region}, {@code
  * failureDomain}, {@code kind} ({@code engine} or {@code service}), {@code labels}, {@code models},
- * {@code capacity}, {@code checksFencing}, {@code draining}, {@code load} and {@code sequence},
- * which rises with each announcement.
+ * {@code capacity}, {@code checksFencing}, {@code draining}, {@code load},
+ * {@code cachedPrefixes} and {@code sequence}, which increases with each announcement.
  */
 public final class EndpointRegistry {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -54,7 +54,7 @@
    * Creates an empty registry.
    *
    * @param clock the time source for leases
-   * @param lease how long an announcement lasts without renewal
+   * @param lease how long an announcement is valid without renewal
    */
   public EndpointRegistry(InstantSource clock, Duration lease) {
     this.clock = clock;
@@ -67,7 +67,7 @@
     return directory.updateAndGet(d -> d.withoutExpired(now));
   }
 
-  /** Adds or renews an endpoint relayed by a peer; its lease runs from now on this clock. */
+  /** Adds or renews an endpoint relayed by a peer; its lease starts now by this daemon's clock. */
   public void renew(Endpoint endpoint) {
     put(endpoint.leasedUntil(clock.instant().plus(lease)));
   }
@@ -81,7 +81,7 @@
    *
    * @param body the JSON body
    * @return the endpoint with its new lease
-   * @throws GatewayException of kind {@link ErrorKind#MALFORMED_REQUEST} naming the bad field
+   * @throws GatewayException of kind {@link ErrorKind#MALFORMED_REQUEST} naming the invalid field
    */
   public Endpoint announce(byte[] body) {
     Endpoint endpoint = parse(body, clock.instant().plus(lease));
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/EntryGateway.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/EntryGateway.java
@@ -28,24 +28,25 @@
 import org.lacewingcroft.routing.Router;
 
 /**
- * The entry role's request path: parses and admits callers' requests, claims the keys of those that
- * may run only once, and hands them to the {@link Dispatcher}. Every request gets a final answer by
- * its deadline: the endpoint's, or a typed error that says whether it was run.
+ * Implements the request path of the entry role: parses and admits callers' requests, claims the
+ * idempotency keys of those that must run at most once, and passes them to the {@link Dispatcher}.
+ * Every request receives a final response by its deadline: the endpoint's response, or a typed error
+ * that states whether the request was run.
  */
 public final class EntryGateway {
-  /** How long an endpoint is passed over after its first failure. */
+  /** How long an endpoint stays in backoff after its first failure. */
   private static final Duration FIRST_PASS_OVER = Duration.ofSeconds(1);
 
-  /** Header carrying the request's id; echoed in answers. */
+  /** Header carrying the request's id; echoed in responses. */
   public static final String REQUEST_ID_HEADER = "X-Request-Id";
 
-  /** Response header set when the answer is a replay of an earlier run with the same key. */
+  /** Response header set when the response is a replay of an earlier run with the same key. */
   public static final String REPLAY_HEADER = "X-Idempotent-Replay";
 
   /** Response header naming the region whose endpoint served the request. */
   public static final String REGION_HEADER = "X-Lacewingcroft-Region";
 
-  /** Response header naming the endpoint, or the entry, that answered. */
+  /** Response header naming the endpoint, or the entry, that sent the response. */
   public static final String ENDPOINT_HEADER = "X-Lacewingcroft-Endpoint";
 
   /** Response header of errors: {@code no} if the request was not run, else {@code unknown}. */
@@ -76,9 +77,10 @@
   /**
    * Bounds of the request path.
    *
-   * @param maxInFlight requests in flight at which further ones are refused
+   * @param maxInFlight the number of requests in flight at which further requests are refused
    * @param hedgeAfter how long an idempotent request waits before it is sent to a second endpoint;
-   *     empty for never
+   *     empty
+   *     disables hedging
    */
   public record Limits(int maxInFlight, Optional<Duration> hedgeAfter) {}
 
@@ -86,11 +88,11 @@
    * Creates the request path of one entry daemon.
    *
    * @param vertx the Vert.x instance
-   * @param router the routing decision of the daemon's region
-   * @param configs the configuration in force
-   * @param endpoints the endpoint directory
+   * @param router the router of the daemon's region
+   * @param configs the store of the active configuration
+   * @param endpoints the known endpoints
    * @param membership the daemon membership
-   * @param hops authenticates requests passed between entries
+   * @param hops marks and authenticates requests relayed between entries
    * @param limits the bounds
    * @param metrics the metrics to update
    * @param clock the time source
@@ -139,12 +141,12 @@
     dispatcher.setFaults(injected);
   }
 
-  /** Returns the requests in flight through this daemon. */
+  /** Returns the number of requests in flight through this daemon. */
   public int inFlight() {
     return inFlight.total();
   }
 
-  /** Stops taking new requests; those in flight go on. */
+  /** Stops accepting new requests; requests in flight continue. */
   public void beginShutdown() {
     shuttingDown.set(true);
   }
@@ -154,31 +156,31 @@
     return shuttingDown.get();
   }
 
-  /** Returns this region's free capacity by model, as this daemon sees it. */
+  /** Returns this region's free capacity by model, as estimated by this daemon. */
   public Map<String, Integer> freeSlotsByModel() {
     return regions.freeSlotsByModel();
   }
 
-  /** Returns the at-most-once records this daemon is a replica of. */
+  /** Returns the at-most-once records for which this daemon is a replica. */
   public KeyOwnership keys() {
     return keys;
   }
 
-  /** Returns the contents that this entry refuses because endpoints ended under them. */
+  /** Returns the contents that this entry refuses because endpoints crashed while they ran them. */
   public List<Suspicion> quarantinedContents() {
     return quarantine.quarantined();
   }
 
   /**
-   * Lets a quarantined content run again at all entries.
+   * Lifts the quarantine of a content at all entries.
    *
-   * @return whether it was quarantined
+   * @return whether the content was quarantined
    */
   public boolean liftQuarantine(RequestFingerprint content) {
     return quarantine.lift(content);
   }
 
-  /** Takes another entry's word of contents under which endpoints broke off. */
+  /** Handles an update from another entry about request contents that crash endpoints. */
   public void onSuspicionUpdate(FleetMessage.SuspicionUpdate update) {
     quarantine.heard(update);
   }
@@ -299,7 +301,10 @@
             });
   }
 
-  /** Stops work nobody waits for; a request that may run only once goes on, to be recorded. */
+  /**
+   * Cancels the attempts of a request whose caller disconnected. A request with a claimed
+   * idempotency key continues, so that its response is recorded.
+   */
   private void callerLeft(Exchange exchange) {
     if (!exchange.response().ended()) {
       exchange.leave();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ErrorReply.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ErrorReply.java
@@ -12,7 +12,7 @@
  * "idempotencyKey"}}}, with {@code Retry-After} in seconds on refusals a caller may retry.
  */
 public final class ErrorReply {
-  /** Seconds a caller should wait before retrying a refusal. */
+  /** Seconds that a caller should wait before it retries a refusal, unless another wait is set. */
   public static final int DEFAULT_RETRY_AFTER_SECONDS = 1;
 
   private static final String RETRY_AFTER_HEADER = "Retry-After";
@@ -33,7 +33,7 @@
     return root.toString();
   }
 
-  /** Sends the error as the whole response, if nothing was sent yet. */
+  /** Sends the error as the complete response, unless the response head was already written. */
   public static void send(
       HttpServerResponse response, ErrorKind kind, String detail, Optional<String> key) {
     if (response.headWritten() || response.ended()) {
@@ -49,7 +49,7 @@
     response.end(body(kind, detail, key));
   }
 
-  /** Says when the caller should come back, rounded up to whole seconds. */
+  /** Sets {@code Retry-After} to a duration rounded up to whole seconds, at least one. */
   public static void setRetryAfter(HttpServerResponse response, Duration after) {
     long seconds = Math.max(1, (after.toMillis() + 999) / 1000);
     response.putHeader(RETRY_AFTER_HEADER, Long.toString(seconds));
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/Exchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/Exchange.java
@@ -13,8 +13,9 @@
 import org.lacewingcroft.request.RequestFingerprint;
 
 /**
- * One caller request on its way through this daemon. All of it happens on the event loop that
- * accepted the request.
+ * The state of one caller request while this daemon handles it.
+ *
+ * <p>Confined to the event loop thread that accepted the request.
  */
 final class Exchange {
   private final RoutingContext ctx;
@@ -54,7 +55,7 @@
     return request;
   }
 
-  /** Returns what the request asks for, the same whenever it is sent again. */
+  /** Returns the fingerprint of the request's content, the same for every resend. */
   RequestFingerprint content() {
     return content;
   }
@@ -71,7 +72,7 @@
     return ctx.response();
   }
 
-  /** Returns how long the caller will still wait, zero if the deadline is over. */
+  /** Returns the time left until the caller's deadline, zero if it has passed. */
   Duration remaining(Instant now) {
     Duration left = Duration.between(now, deadline);
     return left.isNegative() ? Duration.ZERO : left;
@@ -81,7 +82,10 @@
     return (System.nanoTime() - startNanos) / 1e9;
   }
 
-  /** Returns the endpoints and regions that failed this request. */
+  /**
+   * Returns the endpoints (by id) and regions excluded for this request, because an attempt there
+   * failed or, for a hedge, is still in progress. Modifiable.
+   */
   Set<String> passedOver() {
     return passedOver;
   }
@@ -94,38 +98,47 @@
     claimedKey = Optional.of(key);
   }
 
-  /** Notes an attempt to send the request to an endpoint or another entry. */
+  /** Adds an attempt to send the request to an endpoint or to another entry. */
   void begin(Attempt attempt) {
     attempts.add(attempt);
   }
 
-  /** Returns how many attempts there were, the live ones included. */
+  /** Returns the number of attempts made, including live ones. */
   int sends() {
     return attempts.size();
   }
 
-  /** Notes that the request is being written to a target, which from now on may run it. */
+  /** Records that the request is being written to a target, which may run it from now on. */
   void mayRun() {
     possibleRuns++;
   }
 
-  /** Notes that a target it was written to answered that it has not run and will not. */
+  /**
+   * Records that a target to which the request was written responded that it has not run the request
+   * and will not run it.
+   */
   void didNotRun() {
     possibleRuns--;
   }
 
-  /** Returns whether some endpoint may have run the request. */
+  /** Returns whether an endpoint may have run the request. */
   boolean mayHaveRun() {
     return possibleRuns > 0;
   }
 
-  /** Decides that the request is not run: no attempt that is not yet sent may go on. */
+  /**
+   * Marks the request as refused and cancels its attempts, so that no attempt that is not yet sent
+   * continues.
+   */
   void refuse() {
     refused = true;
     cancelAttemptsBut(Optional.empty());
   }
 
-  /** Returns whether the caller is told that the request was not run, so that it must not be. */
+  /**
+   * Returns whether the request was refused. The refusal states that the request was not run, so it
+   * must not be sent to any target afterwards.
+   */
   boolean refused() {
     return refused;
   }
@@ -134,12 +147,12 @@
     return attempts;
   }
 
-  /** Returns whether another attempt is still under way. */
+  /** Returns whether an attempt is still in progress. */
   boolean hasLiveAttempt() {
     return attempts.stream().anyMatch(Attempt::live);
   }
 
-  /** Cancels every attempt but the given one, if any. */
+  /** Cancels every attempt except the given one, if any. */
   void cancelAttemptsBut(Optional<Attempt> kept) {
     for (Attempt a : List.copyOf(attempts)) {
       if (kept.isEmpty() || kept.get() != a) {
@@ -148,7 +161,10 @@
     }
   }
 
-  /** Returns whether the caller can no longer be given a first answer. */
+  /**
+   * Returns whether no response can be started any more, because one was already started or the
+   * caller disconnected.
+   */
   boolean answered() {
     return callerLeft || response().headWritten() || response().ended();
   }
@@ -161,7 +177,7 @@
     return callerLeft;
   }
 
-  /** Marks the exchange as over; returns whether it was not before. */
+  /** Marks the exchange as finished and returns whether it was not finished before. */
   boolean finish() {
     boolean first = !finished;
     finished = true;
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ExtraSends.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ExtraSends.java
@@ -9,11 +9,12 @@
 import org.lacewingcroft.metrics.GatewayMetrics;
 
 /**
- * Allows sends of idempotent requests beyond the first, after a failure (retry) or a long wait
- * (hedge), bounded by attempts, the caller's deadline and the {@link RetryBudget}.
+ * Decides whether an idempotent request may be sent again, after a failure (retry) or a long wait
+ * (hedge). Extra sends are bounded by the number of attempts, the caller's deadline and the {@link
+ * RetryBudget}.
  */
 final class ExtraSends {
-  /** Sends of one request at most, the first included. */
+  /** The maximum number of attempts per request, including the first. */
   static final int MAX_SENDS = 4;
 
   private static final double RETRY_SHARE = 0.1;
@@ -30,12 +31,16 @@
     this.budget = new RetryBudget(RETRY_SHARE, RETRY_RESERVE, clock.instant());
   }
 
-  /** Notes a request sent for the first time. */
+  /** Records the first send of a request, which adds to the retry budget. */
   void firstSend() {
     budget.deposit(clock.instant());
   }
 
-  /** Returns the pause before the next send after a failure, or empty if there must be none. */
+  /**
+   * Takes a retry from the budget after a failure, if a retry is allowed.
+   *
+   * @return the backoff delay before the retry; empty if no retry is allowed
+   */
   Optional<Duration> retryPause(Exchange exchange) {
     Duration pause = BACKOFF.delay(exchange.sends(), ThreadLocalRandom.current());
     boolean allowed =
@@ -51,7 +56,12 @@
     return Optional.of(pause);
   }
 
-  /** Returns whether a request that still waits for its answer may be hedged now. */
+  /**
+   * Takes a hedge from the budget for a request that still waits for its response, if a hedge is
+   * allowed.
+   *
+   * @return whether the request may be hedged now
+   */
   boolean mayHedge(Exchange exchange) {
     boolean allowed =
         exchange.request().idempotent()
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/HopAuthenticator.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/HopAuthenticator.java
@@ -11,26 +11,26 @@
 import org.lacewingcroft.request.CallerRequest;
 
 /**
- * Marks requests that one entry passes to another, so that the receiver neither passes them on
- * again nor lets a caller pretend to be an entry: the mark carries an HMAC-SHA256 tag keyed by the
- * deployment's secret.
+ * Marks requests that one entry relays to another, and verifies the marks of received requests. The
+ * mark prevents the receiver from relaying a request again. It carries an HMAC-SHA256 tag keyed by
+ * the deployment's secret, so that a caller cannot impersonate an entry.
  */
 public final class HopAuthenticator {
   /** Header marking a request relayed to its idempotency key's owner in the same region. */
   public static final String OWNER_HOP_HEADER = "X-Lacewingcroft-Owner-Hop";
 
-  /** Header carrying the tag of a hop. */
+  /** Header carrying the tag that authenticates a hop's mark. */
   public static final String TAG_HEADER = "X-Lacewingcroft-Hop-Tag";
 
   private final HmacUtils hmac;
 
-  /** Which hop a request has made. */
+  /** The hop by which a request reached an entry. */
   public enum Hop {
-    /** It came from a caller. */
+    /** The request came directly from a caller. */
     NONE(""),
-    /** Another entry of this region relayed it to the owner of its key. */
+    /** Another entry of the same region relayed the request to the owner of its key. */
     TO_OWNER(OWNER_HOP_HEADER),
-    /** An entry of another region forwarded it. */
+    /** An entry of another region forwarded the request. */
     ACROSS_REGIONS(CallerRequest.FORWARDED_HEADER);
 
     private final String header;
@@ -48,10 +48,10 @@
   /**
    * Marks a request to be sent to another entry.
    *
-   * @param hop the hop it makes
-   * @param from this entry's region, or node id for a hop to an owner
+   * @param hop the hop by which the request is sent
+   * @param from this entry's region, or its node id for a hop to a key's owner
    * @param requestId the request's id
-   * @param headers takes the headers to set, by name and value
+   * @param headers receives the name and value of each header to set
    */
   public void mark(
       Hop hop,
@@ -63,11 +63,12 @@
   }
 
   /**
-   * Returns the hop a received request has made.
+   * Returns the hop by which a received request arrived, and verifies its tag.
    *
-   * @param headers looks up a header; null when absent
+   * @param headers looks up a header by name; returns null if the header is absent
    * @param requestId the request's id
-   * @throws GatewayException of kind {@link ErrorKind#UNAUTHENTICATED} if a mark's tag is wrong
+   * @throws GatewayException of kind {@link ErrorKind#UNAUTHENTICATED} if a mark's tag is missing or
+   *     wrong
    */
   public Hop verify(Function<String, String> headers, String requestId) {
     for (Hop hop : new Hop[] {Hop.ACROSS_REGIONS, Hop.TO_OWNER}) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/InFlight.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/InFlight.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Counts this entry's requests in flight, in all and by endpoint. Thread-safe. */
+/** Counts this entry's requests in flight, in total and by endpoint. Thread-safe. */
 final class InFlight {
   private final AtomicInteger total = new AtomicInteger();
   private final Map<String, AtomicInteger> byEndpoint = new ConcurrentHashMap<>();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/KeyOwnership.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/KeyOwnership.java
@@ -22,20 +22,22 @@
 import org.lacewingcroft.peer.PeerMessage;
 
 /**
- * At-most-once over the entries of a region. A key's owner is the first live entry in rendezvous
- * order of the key (the assignment of keys to peers is that of PAPER-telegramme-peer-layer-4b8c),
- * its replicas the first {@link #REPLICAS} entries known. Before a request is run its key is
- * claimed at every replica; whichever already holds a record refuses the claim and returns it, so
- * an owner that restarted with an empty table, or two daemons that both take themselves for the
- * owner, cannot run a key again.
+ * Ensures that a request with an idempotency key is run at most once by the entries of a region.
  *
- * <p>An entry that has just started does not know its peers and claims nothing until membership has
- * settled. A replica that does not answer is asked in vain until membership removes it: the claim
- * is then unconfirmed and the request refused as not run, which is safe to retry. When the region's
+ * <p>A key's owner is the first live entry in the rendezvous order of the key (the assignment of
+ * keys to peers is that of PAPER-telegramme-peer-layer-4b8c); its replicas are the first {@link
+ * #REPLICAS} known entries. Before a request is run, its key is claimed at every replica. A replica
+ * that already holds a record of the key denies the claim and returns the record, so that neither an
+ * owner that restarted with an empty table nor two daemons that both act as the owner can run a key
+ * again.
+ *
+ * <p>An entry that has just started does not know its peers and claims no key until membership has
+ * converged. While a replica does not reply, and until membership removes it, claims remain
+ * unconfirmed and their requests are refused as not run, which is safe to retry. When the region's
  * entries change, records are sent to the replicas that became responsible for them.
  */
 public final class KeyOwnership {
-  /** How many entries hold a key's record, the owner among them. */
+  /** The number of entries that hold a key's record, including the owner. */
   public static final int REPLICAS = 3;
 
   private static final System.Logger LOG = System.getLogger(KeyOwnership.class.getName());
@@ -51,7 +53,7 @@
   private final Map<Long, PendingClaim> pending = new ConcurrentHashMap<>();
   private Set<String> knownPeers = Set.of();
 
-  /** A claim waiting for its replicas' replies. */
+  /** A claim that waits for the replies of the other replicas. */
   private final class PendingClaim {
     private final String key;
     private final Set<String> missing;
@@ -86,7 +88,7 @@
     }
   }
 
-  /** Creates the ownership of one entry daemon. */
+  /** Creates the key ownership of one entry daemon. */
   public KeyOwnership(Vertx vertx, Membership membership, InstantSource clock) {
     this.vertx = vertx;
     this.membership = membership;
@@ -94,7 +96,7 @@
     this.self = new Claimant(membership.self().nodeId(), membership.self().incarnation());
   }
 
-  /** Returns the key's owner if it is another live entry of the region. */
+  /** Returns the key's owner if it is another live entry of the region, else empty. */
   Optional<Member> remoteOwner(String key) {
     List<Member> live = membership.table().alive(MemberInfo.ENTRY, region(), clock.instant());
     List<String> ids = new ArrayList<>();
@@ -104,7 +106,7 @@
     return live.stream().filter(m -> m.info().nodeId().equals(owner)).findFirst();
   }
 
-  /** Claims a key at every replica. */
+  /** Claims a key at every replica; unconfirmed if a replica does not reply in time. */
   Future<KeyAdmission> admit(String key) {
     if (!membership.converged()) {
       return Future.succeededFuture(
@@ -148,7 +150,10 @@
     };
   }
 
-  /** Returns whether the process that claimed a key is still known, so that it may yet answer. */
+  /**
+   * Returns whether the process that claimed a key is still a known member, so that it may still
+   * complete the request.
+   */
   private boolean stillRuns(Claimant claimant) {
     if (claimant.nodeId().equals(self.nodeId())) {
       return claimant.equals(self);
@@ -160,18 +165,18 @@
         .isPresent();
   }
 
-  /** Takes a claim of this daemon back, here and at the other replicas. */
+  /** Releases a claim of this daemon, locally and at the other replicas. */
   void takeBack(String key) {
     table.release(key, self);
     broadcast(key, new PeerMessage.KeyRelease(key, self));
   }
 
-  /** Records the answer of a key that ran. */
+  /** Records the response to a key's request, locally and at the other replicas. */
   void complete(String key, int status, String contentType, byte[] body) {
     replicate(table.complete(key, self, status, contentType, body, clock.instant()));
   }
 
-  /** Records that a key's outcome is not known. */
+  /** Records that a key's outcome is unknown, locally and at the other replicas. */
   void markUnknown(String key) {
     replicate(table.markUnknown(key, self, clock.instant()));
   }
@@ -184,7 +189,7 @@
     otherReplicas(key).forEach(r -> membership.send(r.peerAddress(), message));
   }
 
-  /** Returns the key's replicas without this daemon, suspect members included. */
+  /** Returns the key's replicas except this daemon, including suspect members. */
   private List<MemberInfo> otherReplicas(String key) {
     return replicasAmong(membership.table().known(MemberInfo.ENTRY, region()), key).stream()
         .filter(r -> !r.nodeId().equals(self.nodeId()))
@@ -203,7 +208,7 @@
     return membership.self().region();
   }
 
-  /** Takes a message from another entry; others than this class's are ignored. */
+  /** Handles a message about keys from another entry; ignores messages of other types. */
   public void receive(PeerMessage message) {
     if (message instanceof PeerMessage.IdempotencyRecord record) {
       table.merge(record.entry(), clock.instant());
@@ -223,7 +228,8 @@
   }
 
   /**
-   * Sends records to replicas that became responsible since the last call, and expires old ones.
+   * Removes expired records and sends the others to the replicas that became responsible for them
+   * since the last call.
    */
   public synchronized void expireAndHandOver() {
     table.expire(clock.instant());
@@ -249,7 +255,7 @@
     }
   }
 
-  /** Returns the number of records held here. */
+  /** Returns the number of records held by this daemon. */
   public int recordCount() {
     return table.size();
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RegionView.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RegionView.java
@@ -21,8 +21,9 @@
 import org.lacewingcroft.routing.RegionSummary;
 
 /**
- * What this entry knows by itself: its requests in flight, the prompt prefixes it sent lately, and
- * what the entries of other regions reported of their capacity.
+ * Provides the data for routing that this entry has besides endpoint announcements: its own requests
+ * in flight, the prompt prefixes that it sent recently, and the capacity that the entries of other
+ * regions reported.
  */
 final class RegionView implements GatewayView {
   private static final int PREFIXES_KEPT = 4_096;
@@ -51,7 +52,7 @@
     this.clock = clock;
   }
 
-  /** Returns this region's free capacity by model, as this entry sees it. */
+  /** Returns this region's free capacity by model, as estimated by this entry. */
   Map<String, Integer> freeSlotsByModel() {
     Map<String, Integer> free = new HashMap<>();
     Instant now = clock.instant();
@@ -70,7 +71,7 @@
     return free;
   }
 
-  /** Returns the regions known from membership and endpoints, this one included. */
+  /** Returns the regions known from membership and endpoints, including this one. */
   Set<String> known() {
     Set<String> regions =
         membership.table().all().stream().map(m -> m.info().region()).collect(Collectors.toSet());
@@ -79,7 +80,7 @@
     return regions;
   }
 
-  /** Notes that a request with this prompt prefix goes to an endpoint. */
+  /** Records that a request with this prompt prefix is being sent to an endpoint. */
   void sent(String endpointId, String prefix) {
     if (!prefix.isEmpty()) {
       lastEndpointByPrefix.put(PrefixHash.of(prefix), endpointId);
@@ -96,7 +97,10 @@
     return inFlight.to(endpointId);
   }
 
-  /** Returns what the live entries of the other regions reported, one summary a region. */
+  /**
+   * Returns one summary per other region: for each model, the largest free capacity that a live
+   * entry of the region reported.
+   */
   @Override
   public List<RegionSummary> otherRegions() {
     Map<String, Map<String, Integer>> byRegion = new HashMap<>();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RequestBody.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RequestBody.java
@@ -7,7 +7,7 @@
 public final class RequestBody {
   private RequestBody() {}
 
-  /** Returns the bytes of a request's body; none if the request has no body. */
+  /** Returns the bytes of a request's body; an empty array if the request has no body. */
   public static byte[] of(RoutingContext ctx) {
     Buffer body = ctx.body().buffer();
     return body == null ? new byte[0] : body.getBytes();
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RouteChooser.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/RouteChooser.java
@@ -15,9 +15,10 @@
 import org.lacewingcroft.routing.Router;
 
 /**
- * Decides where a request goes now: the {@link Router}'s decision on the newest snapshots, around
- * the endpoints and regions that failed this request, around endpoints that asked for a pause and,
- * if that leaves any, around endpoints that fail at present.
+ * Selects the target of a request: the {@link Router}'s decision on the latest snapshots, without
+ * the endpoints and regions that failed this request and without the endpoints that requested a
+ * pause. Endpoints in backoff after failures are excluded as well, unless the request would then
+ * have to be refused.
  */
 final class RouteChooser {
   private static final System.Logger LOG = System.getLogger(RouteChooser.class.getName());
@@ -59,7 +60,10 @@
         : decision;
   }
 
-  /** Returns how long until the first endpoint takes requests again that asked for a pause. */
+  /**
+   * Returns the time until the first paused endpoint that serves the request's model accepts
+   * requests again; empty if none is paused.
+   */
   Optional<Duration> pauseLeft(Exchange exchange) {
     Map<String, Duration> paused = health.paused(clock.instant());
     return endpoints.snapshot().serving(exchange.request().model()).stream()
@@ -77,7 +81,10 @@
         clock.instant());
   }
 
-  /** Keeps the exchange away from a target that failed it, and others from a failing endpoint. */
+  /**
+   * Excludes the target of a failed attempt for this exchange. An endpoint also enters backoff, in
+   * which other requests avoid it.
+   */
   void passOver(Exchange exchange, Attempt attempt) {
     if (attempt.toEndpoint()) {
       health.recordFailure(attempt.target(), clock.instant());
@@ -88,9 +95,9 @@
   }
 
   /**
-   * Notes what an endpoint's answer says of its health.
+   * Updates an endpoint's health from its response. Responses of other entries are ignored.
    *
-   * @param retryAfter for how long it wants nothing further, if it says so
+   * @param retryAfter the pause that the endpoint requested, if any
    */
   void noteAnswer(Attempt attempt, int status, Optional<Duration> retryAfter) {
     if (!attempt.toEndpoint()) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/http/CallerConnections.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/http/CallerConnections.java
@@ -12,16 +12,19 @@
 import java.util.function.Supplier;
 
 /**
- * The open connections of callers, closed once they have been unused for the idle timeout in force.
- * A connection whose request is being worked on is in use however long its answer takes, which is
- * why the server's own idle timeout, which counts bytes only, is not used.
+ * Tracks the open connections of callers and closes those that have been unused for longer than the
+ * active idle timeout. A connection with a request in progress is in use however long the response
+ * takes; the server's own idle timeout is not used because it only considers transferred bytes.
  *
- * <p>Owned by the event loop.
+ * <p>Confined to the event loop thread.
  */
 public final class CallerConnections {
   private static final System.Logger LOG = System.getLogger(CallerConnections.class.getName());
 
-  /** How often unused connections are looked for; it bounds by how much one is kept too long. */
+  /**
+   * Interval between checks for unused connections, and thereby the longest time that a connection
+   * stays open beyond the idle timeout.
+   */
   private static final long SWEEP_MILLIS = 1_000;
 
   private final InstantSource clock;
@@ -37,20 +40,20 @@
     }
   }
 
-  /** Starts to watch; {@code idleTimeout} is asked anew at each look. */
+  /** Starts the periodic check for unused connections, which reads {@code idleTimeout} each time. */
   public CallerConnections(Vertx vertx, InstantSource clock, Supplier<Duration> idleTimeout) {
     this.clock = clock;
     this.idleTimeout = idleTimeout;
     vertx.setPeriodic(SWEEP_MILLIS, id -> closeIdle());
   }
 
-  /** Takes a connection just accepted. */
+  /** Starts to track a newly accepted connection. */
   public void onConnectionOpened(HttpConnection connection) {
     uses.put(connection, new Use(clock.instant()));
     connection.closeHandler(v -> uses.remove(connection));
   }
 
-  /** Counts a request as under way until its answer has ended or its connection is closed. */
+  /** Counts a request as in progress until its response has ended or its connection is closed. */
   public void onRequest(HttpServerRequest request) {
     Use use = uses.get(request.connection());
     if (use != null) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/http/RetryAfter.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/http/RetryAfter.java
@@ -4,24 +4,24 @@
 import java.util.Optional;
 import java.util.regex.Pattern;
 
-/** The header by which the sender of an answer says how long it wants no further request. */
+/** Parses the response header by which a server requests a pause before further requests. */
 public final class RetryAfter {
-  /** Its name. */
+  /** The name of the header. */
   public static final String HEADER = "Retry-After";
 
   private static final Pattern SECONDS = Pattern.compile("\\d{1,9}(\\.\\d{1,9})?");
   private static final double MILLIS_PER_SECOND = 1_000;
 
-  /** A longer pause is taken for a mistake of its sender. */
+  /** The longest pause returned; a longer one is assumed to be a mistake of the sender. */
   private static final Duration LONGEST = Duration.ofHours(1);
 
   private RetryAfter() {}
 
   /**
-   * Reads a value in seconds, which may have a fraction.
+   * Parses a value in seconds, which may have a fraction and is rounded up to whole milliseconds.
    *
-   * @param value the header's value, null if there is none
-   * @return the pause, an hour at most; empty if the value is no number of seconds
+   * @param value the header's value, or null if the header is absent
+   * @return the pause, at most one hour; empty if the value is not a number of seconds
    */
   public static Optional<Duration> parse(String value) {
     if (value == null || !SECONDS.matcher(value.trim()).matches()) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/http/StrictRequestDecoder.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/http/StrictRequestDecoder.java
@@ -18,10 +18,11 @@
 import org.lacewingcroft.route.RequestLimits;
 
 /**
- * Reads requests as Vert.x does, and refuses what Vert.x lets pass: a message with both a length
- * and chunked framing, by which one request can be hidden inside another, and a head that takes
- * longer to arrive than callers may take. Both end the connection, since nobody can say where the
- * next request on it begins.
+ * Decodes requests as Vert.x does, but rejects two kinds that Vert.x accepts: a message with both a
+ * {@code Content-Length} and chunked transfer encoding, by which one request can be hidden inside
+ * another (request smuggling), and a request head that takes longer to arrive than the header
+ * timeout. Both close the connection, since the start of the next request on it cannot be
+ * determined.
  *
  * <p>Vert.x has no setting for either, so the decoder of a connection is replaced in its pipeline
  * before the first byte is read.
@@ -29,7 +30,7 @@
 public final class StrictRequestDecoder extends VertxHttpRequestDecoder {
   private static final System.Logger LOG = System.getLogger(StrictRequestDecoder.class.getName());
 
-  /** The name that Vert.x gives the decoder in a connection's pipeline. */
+  /** The name of the decoder in a connection's pipeline, assigned by Vert.x. */
   private static final String DECODER = "httpDecoder";
 
   private final Supplier<RequestLimits> limits;
@@ -42,12 +43,12 @@
   }
 
   /**
-   * Replaces the decoder of a connection that has just been accepted.
+   * Replaces the decoder of a newly accepted connection.
    *
    * @param connection a connection of an HTTP/1.1 server
-   * @param options the server's options; the limits of heads come from {@code limits}
-   * @param limits what callers may send; a head's size is bounded by what is in force now, the time
-   *     it takes by what is in force when it begins
+   * @param options the server's options; the limits of request heads come from {@code limits}
+   * @param limits the limits on requests; the size of a request head is bounded by the limits active
+   *     at the time of this call, its duration by those active when the head begins
    */
   public static void install(
       HttpConnection connection, HttpServerOptions options, Supplier<RequestLimits> limits) {
@@ -62,7 +63,7 @@
 
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-    throw new IllegalArgumentException("both a length and chunked framing");
+    throw new IllegalArgumentException("message has both a Content-Length and chunked transfer encoding");
   }
 
   @Override
@@ -81,7 +82,7 @@
     watchHead(ctx, !insideMessage && out.size() == before);
   }
 
-  /** Starts the timer at a head's first bytes and stops it once the head is whole. */
+  /** Starts the timer at the first bytes of a request head and cancels it at the end of the head. */
   private void watchHead(ChannelHandlerContext ctx, boolean partialHead) {
     if (!partialHead) {
       stopTimer();
@@ -98,7 +99,7 @@
         System.Logger.Level.INFO,
         "connection.closed",
         "why",
-        "the head of a request took longer than its limit",
+        "the request head took longer than the header timeout",
         "limitMillis",
         millis,
         "remote",
