--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
@@ -231,7 +231,7 @@
   }
 
   /** Returns whether this entry is shutting down. */
-  public boolean isStopping() {
+  public boolean isShuttingDown() {
     return shuttingDown;
   }
 
@@ -702,7 +702,7 @@
    * Records that an endpoint announces in a response that it is draining, which may arrive before
    * the update from the control instances.
    */
-  public void drainAdvertised(EndpointTracker tracker) {
+  public void drainAnnounced(EndpointTracker tracker) {
     if (tracker.conditions().markDraining()) {
       RosterLog.logStateChange(
           tracker.record().withState(EndpointState.DRAINING), "endpoint response");
@@ -729,8 +729,8 @@
    * Records that an endpoint has prefilled a prompt, and reports the shared prefix to the other
    * entries.
    */
-  public void prefixRead(EndpointTracker tracker, PlacementRequest request) {
-    prefixes.prefixRead(tracker, request);
+  public void recordPrefix(EndpointTracker tracker, PlacementRequest request) {
+    prefixes.recordPrefix(tracker, request);
   }
 
   private void reportRegionLoad() {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixExchange.java
@@ -74,7 +74,7 @@
    * Records that an endpoint has prefilled a prompt. A long shared prefix is reported to all
    * entries unless one of them has reported it recently.
    */
-  void prefixRead(EndpointTracker tracker, PlacementRequest request) {
+  void recordPrefix(EndpointTracker tracker, PlacementRequest request) {
     if (request.sharedTokens() < MIN_REPORTED_PREFIX_TOKENS) {
       return;
     }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/QuarantineLog.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/QuarantineLog.java
@@ -9,8 +9,8 @@
   private QuarantineLog() {}
 
   /**
-   * Logs that a content is quarantined or cleared according to the given evidence; logs nothing if
-   * it is neither.
+   * Logs that a request content is quarantined or cleared according to the given evidence; logs
+   * nothing if it is neither.
    *
    * @param suspicion the merged evidence on the content
    * @param cause the instance that sent it, or what was observed locally
@@ -39,7 +39,7 @@
     }
   }
 
-  /** Logs that a quarantined content is run again as a trial. */
+  /** Logs that a quarantined request content is run again as a trial. */
   public static void logTrial(Suspicion suspicion) {
     LOG.log(
         System.Logger.Level.INFO,
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
@@ -14,11 +14,11 @@
 import org.lacewingcroft.misc.BoundedMap;
 import org.lacewingcroft.peer.SocketAddresses;
 import org.lacewingcroft.placement.EndpointTracker;
+import org.lacewingcroft.quarantine.IncompleteRuns;
 import org.lacewingcroft.quarantine.QuarantineTrials;
 import org.lacewingcroft.quarantine.RecentCompletions;
 import org.lacewingcroft.quarantine.Suspicion;
 import org.lacewingcroft.quarantine.SuspicionLedger;
-import org.lacewingcroft.quarantine.UnansweredRuns;
 import org.lacewingcroft.request.RequestFingerprint;
 
 /**
@@ -48,7 +48,7 @@
   private final Supplier<List<String>> entries;
   private final SuspicionLedger ledger = new SuspicionLedger();
   private final RecentCompletions completions = new RecentCompletions();
-  private final UnansweredRuns unansweredRuns = new UnansweredRuns();
+  private final IncompleteRuns incompleteRuns = new IncompleteRuns();
   private final QuarantineTrials trials = new QuarantineTrials();
   private final CrashProbe probe;
   private final PendingCrashProbes pendingProbes = new PendingCrashProbes();
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Returns how long a content remains quarantined, or empty if it may run. A quarantined content
-   * may run if a trial of it is due on this entry, which is then recorded.
+   * Returns how long a request content remains quarantined, or empty if it may run. A quarantined
+   * content may run if a trial of it is due on this entry, which is then recorded.
    */
   public Optional<Duration> remainingQuarantine(RequestFingerprint content) {
     Instant now = clock.instant();
@@ -110,12 +110,12 @@
     return ledger.remainingQuarantine(content, now);
   }
 
-  /** Returns the number of quarantined contents. */
+  /** Returns the number of quarantined request contents. */
   public int size() {
     return ledger.quarantined(clock.instant()).size();
   }
 
-  /** Records that an endpoint has completed the response to a request with this content. */
+  /** Records that an endpoint has completed its response for this request content. */
   public void completed(RequestFingerprint content) {
     Instant now = clock.instant();
     completions.record(content, now);
@@ -125,12 +125,11 @@
   }
 
   /**
-   * Records that an endpoint closed the connection while it was running a request with this
-   * content. This counts as evidence against the content only if the endpoint turns out to have
-   * crashed.
+   * Records that an endpoint closed the connection while it was running this request content. This
+   * counts as evidence against the content only if the endpoint turns out to have crashed.
    */
   public void connectionLost(EndpointTracker endpoint, RequestFingerprint content) {
-    recordUnanswered(endpoint.record(), content, UnansweredRuns.Kind.BROKEN_OFF);
+    recordIncompleteRun(endpoint.record(), content, IncompleteRuns.Kind.BROKEN_OFF);
     Future<Boolean> result =
         probe
             .hasCrashed(SocketAddresses.parse(endpoint.record().address()))
@@ -143,19 +142,19 @@
     pendingProbes.add(content, result);
   }
 
-  /** Returns the crash probe result that a content must wait for before it may run. */
+  /** Returns the crash probe result that a request content must wait for before it may run. */
   public Optional<Future<Boolean>> pendingCrashProbe(RequestFingerprint content) {
     return pendingProbes.get(content);
   }
 
-  /** Records that this entry stopped waiting for the response to a request with this content. */
+  /** Records that this entry stopped waiting for the response to this request content. */
   public void abandoned(EndpointRecord endpoint, RequestFingerprint content) {
-    recordUnanswered(endpoint, content, UnansweredRuns.Kind.GIVEN_UP);
+    recordIncompleteRun(endpoint, content, IncompleteRuns.Kind.GIVEN_UP);
   }
 
-  private void recordUnanswered(
-      EndpointRecord endpoint, RequestFingerprint content, UnansweredRuns.Kind kind) {
-    unansweredRuns
+  private void recordIncompleteRun(
+      EndpointRecord endpoint, RequestFingerprint content, IncompleteRuns.Kind kind) {
+    incompleteRuns
         .record(endpoint.incarnationId(), content, kind, clock.instant())
         .ifPresent(this::suspect);
   }
@@ -167,14 +166,14 @@
    * @param lastByteAt when this entry last received a byte from it
    */
   void endpointCrashed(EndpointRecord endpoint, Instant lastByteAt) {
-    unansweredRuns
+    incompleteRuns
         .endpointCrashed(endpoint.incarnationId(), lastByteAt, clock.instant())
         .forEach(this::suspect);
   }
 
   /** Records that an endpoint that was presumed crashed has recovered, as the same incarnation. */
   void endpointRecovered(EndpointRecord endpoint) {
-    unansweredRuns.endpointRecovered(endpoint.incarnationId());
+    incompleteRuns.endpointRecovered(endpoint.incarnationId());
     ledger.retractCrash(endpoint.incarnationId(), clock.instant());
   }
 
@@ -211,14 +210,14 @@
   void resendUnconfirmed() {
     Instant now = clock.instant();
     ledger.expire(now);
-    unansweredRuns.expire(now);
+    incompleteRuns.expire(now);
     List.copyOf(unconfirmed.keySet()).forEach(this::send);
   }
 
   /**
-   * Applies suspicions from a control instance. A content that an endpoint has recently completed
-   * for this entry does not crash every endpoint that runs it, but the instances that suspect it
-   * have not received this completion; such a content is reported as cleared.
+   * Applies suspicions from a control instance. A request content that an endpoint has recently
+   * completed for this entry does not crash every endpoint that runs it, but the instances that
+   * suspect it have not received this completion; such a content is reported as cleared.
    */
   void onSuspicionUpdate(FleetMessage.SuspicionUpdate update) {
     Instant now = clock.instant();
@@ -239,14 +238,14 @@
     unconfirmed.remove(ack.callId());
   }
 
-  /** Returns the digest of the quarantined contents. */
+  /** Returns the digest of the quarantined request contents. */
   int digest() {
     return ledger.quarantinedDigest();
   }
 
   /**
-   * Sends the quarantined and the cleared contents to a control instance whose digest differs, for
-   * example because it lost them in a restart.
+   * Sends the quarantined and the cleared request contents to a control instance whose digest
+   * differs, for example because it lost them in a restart.
    */
   void compare(FleetMessage.ControlPulse pulse) {
     if (pulse.quarantineDigest() == digest()) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/AdvertisedConditionsReader.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/AdvertisedConditionsReader.java
@@ -34,7 +34,7 @@
   void read(EndpointTracker endpoint, int status, HttpClientResponse response, Instant sentAt) {
     readRateLimit(endpoint, status, response, sentAt);
     if (DRAINING.equals(response.getHeader(headerNames.draining()))) {
-      node.drainAdvertised(endpoint);
+      node.drainAnnounced(endpoint);
     }
     if (status == UNAVAILABLE || status == TOO_MANY_REQUESTS) {
       RetryAfter.parse(response.getHeader(RetryAfter.HEADER))
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
@@ -403,7 +403,7 @@
         eventSplitter = Optional.of(new EventSplitter(lastEventId));
         if (!streaming) {
           streaming = true;
-          if (context.node().isStopping()) {
+          if (context.node().isShuttingDown()) {
             response.closeConnectionAfterResponse();
           }
           response.startStream(status, headers);
@@ -562,13 +562,15 @@
 
   /** Records that an endpoint has prefilled the prompt, so that it caches the prompt's prefixes. */
   private void recordPrefix(EndpointTracker endpoint) {
-    context.node().prefixRead(endpoint, request.toPlacementRequest(context.now(), excludedTargets));
+    context
+        .node()
+        .recordPrefix(endpoint, request.toPlacementRequest(context.now(), excludedTargets));
   }
 
   private void sendResponse(
       UpstreamAttempt attempt, int status, List<Map.Entry<String, String>> headers, Buffer body) {
     recordServed(attempt, status);
-    if (context.node().isStopping()) {
+    if (context.node().isShuttingDown()) {
       response.closeConnectionAfterResponse();
     }
     response.send(status, headers, body);
@@ -714,7 +716,7 @@
 
   /**
    * Ends the call without a successful response: sends the retained server error of an endpoint if
-   * there is one, otherwise an error response of this gateway.
+   * there is one, otherwise an error response of this entry.
    */
   private void finishWithError(int status, String reason, Optional<Duration> retryAfter) {
     if (done) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardContext.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardContext.java
@@ -103,7 +103,7 @@
     List<Map.Entry<String, String>> headers = new ArrayList<>();
     headers.add(Map.entry(HANDLING_HEADER, request.handling().encodeForRelay()));
     headers.add(Map.entry(DUE_MILLIS_HEADER, Long.toString(remainingMillis)));
-    hopAuthenticator.mark(
+    hopAuthenticator.sign(
         HopAuthenticator.Hop.ACROSS_REGIONS,
         region,
         request.id(),
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/RequestLog.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/RequestLog.java
@@ -119,7 +119,7 @@
    * @param revision the revision of the routing state
    */
   void logRefused(Placement.Refused refused, Set<String> excludedTargets, long revision) {
-    Placement.RefusalDetails details = refused.evidence();
+    Placement.RefusalDetails details = refused.details();
     write(
         "request.refused",
         "service",
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/RequestReader.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/RequestReader.java
@@ -36,8 +36,8 @@
   /**
    * Creates the request to forward from the request head and the complete body.
    *
-   * @param dropApiKey whether the {@code Authorization} header carries an API key of this gateway,
-   *     which must not be forwarded
+   * @param dropApiKey whether the {@code Authorization} header carries an API key that this entry
+   *     checks, which must not be forwarded
    */
   ForwardRequest read(
       HttpServerRequest request,
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/Dispatcher.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/Dispatcher.java
@@ -381,7 +381,7 @@
               hop == HopAuthenticator.Hop.ACROSS_REGIONS
                   ? membership.self().region()
                   : membership.self().nodeId();
-          hopAuthenticator.mark(hop, from, exchange.requestId(), upstream::putHeader);
+          hopAuthenticator.sign(hop, from, exchange.requestId(), upstream::putHeader);
           LOG.log(
               System.Logger.Level.INFO,
               "request.relayed",
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/HopAuthenticator.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/HopAuthenticator.java
@@ -46,14 +46,14 @@
   }
 
   /**
-   * Marks a request to be sent to another entry.
+   * Signs a request to be sent to another entry: sets its hop mark and the tag of the mark.
    *
    * @param hop the hop by which the request is sent
    * @param from this entry's region, or its node id for a hop to a key's owner
    * @param requestId the request's id
    * @param headers receives the name and value of each header to set
    */
-  public void mark(
+  public void sign(
       Hop hop,
       String from,
       String requestId,
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/KeyOwnership.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/KeyOwnership.java
@@ -24,12 +24,12 @@
 /**
  * Ensures that a request with an idempotency key is run at most once by the entries of a region.
  *
- * <p>A key's owner is the first live entry in the rendezvous order of the key (the assignment of
- * keys to peers is that of PAPER-telegramme-peer-layer-4b8c); its replicas are the first {@link
- * #REPLICAS} known entries. Before a request is run, its key is claimed at every replica. A replica
- * that already holds a record of the key denies the claim and returns the record, so that neither
- * an owner that restarted with an empty table nor two daemons that both act as the owner can run a
- * key again.
+ * <p>A key's owner is the first live entry in the rendezvous order of the key; its replicas are the
+ * first {@link #REPLICAS} known entries. The source of the assignment of keys to peers is the paper
+ * PAPER-telegramme-peer-layer-4b8c. Before a request is run, its key is claimed at every replica. A
+ * replica that already holds a record of the key denies the claim and returns the record, so that
+ * neither an owner that restarted with an empty table nor two daemons that both act as the owner
+ * can run a key again.
  *
  * <p>An entry that has just started has not discovered its peers and claims no key until membership
  * has converged. While a replica does not reply, and until membership removes it, claims remain
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/PeerTransport.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/peer/PeerTransport.java
@@ -234,13 +234,13 @@
             FrameCodec.Frame frame = codec.decode(buffer.getBytes());
             traffic.recordReceived(
                 frame.message(), buffer.length(), System.nanoTime() - startNanos);
-            LogContext.clock().receive(frame.stamp());
+            LogContext.clock().receive(frame.timestamp());
             if (frame.message() instanceof PeerMessage.Ping) {
               socket.write(
                   Buffer.buffer(codec.encode(LogContext.clock().tick(), new PeerMessage.Pong())));
               return;
             }
-            handler.accept(frame.stamp(), frame.message());
+            handler.accept(frame.timestamp(), frame.message());
           } catch (MalformedFrameException e) {
             framesRejected.incrementAndGet();
             LOG.log(
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/FrameCodec.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/peer/FrameCodec.java
@@ -33,10 +33,10 @@
   /**
    * A decoded frame.
    *
-   * @param stamp the sender's hybrid-logical-clock stamp
+   * @param timestamp the sender's hybrid-logical-clock timestamp
    * @param message the message
    */
-  public record Frame(String stamp, PeerMessage message) {}
+  public record Frame(String timestamp, PeerMessage message) {}
 
   /**
    * Creates a codec that authenticates frames with the deployment's shared secret.
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placement.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/placement/Placement.java
@@ -52,10 +52,9 @@
    *
    * @param reason the reason, for the log and the caller
    * @param retryAfter the delay after which the caller should retry
-   * @param evidence the waits on which the decision is based, for the log
+   * @param details the waits on which the decision is based, for the log
    */
-  record Refused(Reason reason, Duration retryAfter, RefusalDetails evidence)
-      implements Placement {}
+  record Refused(Reason reason, Duration retryAfter, RefusalDetails details) implements Placement {}
 
   /**
    * The waits on which a refusal is based.
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/UnansweredRuns.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/quarantine/IncompleteRuns.java
@@ -21,7 +21,7 @@
  *
  * <p>Not thread-safe.
  */
-public final class UnansweredRuns {
+public final class IncompleteRuns {
   /**
    * How long an incomplete run and an endpoint's crash are retained, so that one can be attributed
    * to the other.
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/request/CallerRequest.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/request/CallerRequest.java
@@ -17,12 +17,12 @@
 
 /**
  * A caller's request, parsed from the OpenAI-compatible JSON body of a chat completion or from a
- * call to a plain service, and from the gateway's headers.
+ * call to a plain service, and from the headers that an entry reads.
  *
  * <p>Headers read: {@code X-Organisation} (required), {@code X-Residency} (comma-separated
  * regions), {@code X-Priority}, {@code Idempotency-Key}, {@code X-Idempotent} ({@code false} marks
  * the request non-idempotent and then requires a key), {@code X-Deadline-Millis} (how long the
- * caller waits) and {@code X-Lacewingcroft-Forwarded} (set by a gateway that forwarded the request
+ * caller waits) and {@code X-Lacewingcroft-Forwarded} (set by an entry that forwarded the request
  * from another region).
  *
  * @param organisation the caller's organisation
@@ -74,7 +74,7 @@
   /** Header marking a request non-idempotent with {@code false}. */
   public static final String IDEMPOTENT_HEADER = "X-Idempotent";
 
-  /** Header set by a gateway that forwarded the request from another region. */
+  /** Header set by an entry that forwarded the request from another region. */
   public static final String FORWARDED_HEADER = "X-Lacewingcroft-Forwarded";
 
   /** Header carrying the remaining time in milliseconds that the caller waits. */
