--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/ControlNode.java
@@ -59,14 +59,17 @@
    */
   private static final Duration ENTRY_DISCOVERY_TIME = Duration.ofMillis(1_600);
 
-  /** Time without a hello message after which a control instance is not listed to others. */
-  private static final Duration CONTROL_TIMEOUT = Duration.ofSeconds(10);
+  /**
+   * Time without a hello message after which a control instance is not listed to others unless it
+   * is a member of the group, and time without a report after which an entry is removed.
+   */
+  private static final Duration PEER_RETENTION = Duration.ofSeconds(10);
 
   /**
    * Length of an endpoint's lease, in announcement intervals: an endpoint is marked as lost after
    * it has missed this number of announcements.
    */
-  private static final int LEASE_HEARTBEATS = 4;
+  private static final int LEASE_ANNOUNCEMENTS = 4;
 
   /** Delay before the data folder is reopened after a failure. */
   private static final long REOPEN_DELAY_MILLIS = 1_000;
@@ -447,8 +450,8 @@
 
   private void sendHello() {
     Instant now = clock.instant();
-    lastHelloAt.values().removeIf(at -> at.plus(CONTROL_TIMEOUT).isBefore(now));
-    entries.values().removeIf(e -> e.lastReportAt.plus(CONTROL_TIMEOUT).isBefore(now));
+    lastHelloAt.values().removeIf(at -> at.plus(PEER_RETENTION).isBefore(now));
+    entries.values().removeIf(e -> e.lastReportAt.plus(PEER_RETENTION).isBefore(now));
     Set<String> targets = new TreeSet<>(knownControls());
     targets.addAll(seeds);
     targets.remove(settings.peerAddress());
@@ -467,7 +470,7 @@
     }
     hadMajority = inMajority;
     if (inMajority) {
-      Duration lease = settings.endpointHeartbeat().multipliedBy(LEASE_HEARTBEATS);
+      Duration lease = settings.endpointHeartbeat().multipliedBy(LEASE_ANNOUNCEMENTS);
       List<EndpointRecord> lost = roster.expire(now, lease);
       lost.forEach(r -> RosterLog.logStateChange(r, "lease expired"));
       if (!lost.isEmpty()) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/CrashProbe.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/CrashProbe.java
@@ -24,7 +24,7 @@
   private static final long ATTEMPT_DELAY_MILLIS = 30;
 
   private static final int CONNECT_TIMEOUT_MILLIS = 300;
-  private static final int ATTEMPTS = 2;
+  private static final int REQUIRED_REFUSALS = 2;
 
   private final Vertx vertx;
   private final NetClient client;
@@ -46,13 +46,13 @@
     return inProgress.computeIfAbsent(
         address,
         a -> {
-          Future<Boolean> result = refusesConnections(a, ATTEMPTS);
+          Future<Boolean> result = refusesConnections(a, REQUIRED_REFUSALS);
           result.onComplete(done -> inProgress.remove(a));
           return result;
         });
   }
 
-  private Future<Boolean> refusesConnections(SocketAddress address, int attempts) {
+  private Future<Boolean> refusesConnections(SocketAddress address, int refusalsLeft) {
     return vertx
         .timer(ATTEMPT_DELAY_MILLIS)
         .compose(delayed -> client.connect(address))
@@ -61,9 +61,9 @@
             e ->
                 !isRefusal(e)
                     ? Future.succeededFuture(false)
-                    : attempts == 1
+                    : refusalsLeft == 1
                         ? Future.succeededFuture(true)
-                        : refusesConnections(address, attempts - 1));
+                        : refusesConnections(address, refusalsLeft - 1));
   }
 
   /** Returns whether a connection was refused; timeouts have the same exception type. */
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/DepartureReplicator.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/DepartureReplicator.java
@@ -25,7 +25,7 @@
   private static final Duration CONFIRMATION_TIMEOUT = Duration.ofMillis(750);
 
   private final Vertx vertx;
-  private final String self;
+  private final String selfAddress;
   private final FleetTransport transport;
   private final Map<Long, PendingDeparture> pending = new HashMap<>();
   private final Set<String> replicated = new HashSet<>();
@@ -42,9 +42,9 @@
     }
   }
 
-  DepartureReplicator(Vertx vertx, String self, FleetTransport transport) {
+  DepartureReplicator(Vertx vertx, String selfAddress, FleetTransport transport) {
     this.vertx = vertx;
-    this.self = self;
+    this.selfAddress = selfAddress;
     this.transport = transport;
   }
 
@@ -55,16 +55,17 @@
    */
   Future<Boolean> replicate(EndpointRecord record, Set<String> members) {
     String key = record.id() + '/' + record.startedAtMillis() + '/' + record.state();
-    int requiredConfirmations = QuorumSize.requiredConfirmations(members, self);
+    int requiredConfirmations = QuorumSize.requiredConfirmations(members, selfAddress);
     if (replicated.contains(key) || requiredConfirmations == 0) {
       return Future.succeededFuture(true);
     }
     Set<String> others = new TreeSet<>(members);
-    others.remove(self);
+    others.remove(selfAddress);
     long callId = nextCallId++;
     PendingDeparture departure = new PendingDeparture(others, requiredConfirmations);
     pending.put(callId, departure);
-    FleetMessage update = new FleetMessage.RosterUpdate(self, callId, false, List.of(record));
+    FleetMessage update =
+        new FleetMessage.RosterUpdate(selfAddress, callId, false, List.of(record));
     List.copyOf(others).forEach(o -> transport.send(o, update));
     vertx.setTimer(CONFIRMATION_TIMEOUT.toMillis(), id -> onTimeout(callId));
     return departure.done.future().onSuccess(confirmed -> recordOutcome(key, confirmed));
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/EntryNode.java
@@ -34,6 +34,13 @@
  * their load, the other entries and the control instances. It reports to every known control
  * instance, applies their updates, and continues with its current state while none is reachable.
  *
+ * <p>An entry follows the control instances of its own region, or all while none of these is
+ * connected to a majority: in a deployment with a large region, it sends every report to these
+ * control instances and only every third report to the others. If a revocation delay is configured,
+ * the state lease limits for how long callers' API keys are accepted without a confirmation from a
+ * control instance in the majority that the routing state is current, because a disconnected entry
+ * receives no key revocations.
+ *
  * <p>All state is confined to the event loop thread.
  */
 public final class EntryNode implements AutoCloseable {
@@ -99,7 +106,7 @@
   private List<String> controls = List.of();
   private List<EntryInfo> entries = List.of();
   private List<String> regionEntryNames;
-  private boolean largeFleet;
+  private boolean hasLargeRegion;
   private volatile RoutingView routing = RoutingView.NONE;
   private Instant stateRequestedAt = Instant.EPOCH;
   private boolean rosterComplete;
@@ -241,8 +248,10 @@
   }
 
   /**
-   * Consumes one extra send from the budget of a service if there is one left. Extra sends are all
-   * sends of a request after the first.
+   * Consumes one extra send from the budget of a service if there is one left. Extra sends are this
+   * entry's sends of a request after its first, except those that follow a send that reached no
+   * endpoint: the connection could not be established, the request was withdrawn before it was
+   * sent, or another entry refused it without having sent it to an endpoint.
    *
    * @return whether the extra send is allowed
    */
@@ -374,6 +383,10 @@
     return Math.max(2, (int) (connections * CONNECTION_SHARE / regionEntryCount));
   }
 
+  /**
+   * Returns how many entries of a region may send to one cold endpoint of a service: one for each
+   * request per second in the entries' share of its rate bound, and at least one.
+   */
   private int coldSenders(Optional<ServiceSpec> spec) {
     double rate = spec.map(ServiceSpec::coldRequestsPerSecond).orElse(0.0);
     double bound = rate * settings.bounds().warmupOvershoot() + settings.bounds().warmupSlack();
@@ -439,7 +452,7 @@
     }
     Set<String> targets = knownControls(now);
     Set<String> followed =
-        largeFleet && !controlUnresponsive ? controlTracker.followed(controls, now) : targets;
+        hasLargeRegion && !controlUnresponsive ? controlTracker.followed(controls, now) : targets;
     long reportId = lease.startRequest(clocks());
     transport.sendAll(followed, entryReport(true, reportId));
     reportCount++;
@@ -538,12 +551,12 @@
   }
 
   /**
-   * Returns the channel for updates. In large fleets the entries exchange updates through an
-   * aggregator while one is reachable.
+   * Returns the channel for updates. If any region is large, the entries exchange updates through
+   * an aggregator while one is reachable.
    */
   private UpdateChannel updateChannel() {
     Optional<String> aggregator =
-        largeFleet ? aggregatorSelector.select(clock.instant()) : Optional.empty();
+        hasLargeRegion ? aggregatorSelector.select(clock.instant()) : Optional.empty();
     if (!aggregator.equals(currentAggregator)) {
       currentAggregator = aggregator;
       LOG.log(
@@ -568,7 +581,7 @@
 
   private void onControlPulse(FleetMessage.ControlPulse pulse) {
     Instant now = clock.instant();
-    aggregatorSelector.onHeartbeat(pulse.from(), pulse.region(), now);
+    aggregatorSelector.onControlPulse(pulse.from(), pulse.region(), now);
     if (!controlReached) {
       controlReached = true;
       LOG.log(System.Logger.Level.INFO, "control.reached", "control", pulse.from());
@@ -655,7 +668,7 @@
     if (entriesDigest(list.entries()) != entriesDigest(entries)) {
       entries = List.copyOf(list.entries());
       regionEntryNames = regionEntryNames(self, entries);
-      largeFleet = hasLargeRegion(entries);
+      hasLargeRegion = hasLargeRegion(entries);
       LOG.log(
           System.Logger.Level.INFO,
           "entries.changed",
@@ -683,7 +696,7 @@
   }
 
   /**
-   * Records the rate limit that a response advertises for its endpoint; a change is reported to the
+   * Records the rate limit advertised in a response of an endpoint; a change is reported to the
    * other entries of the region immediately.
    *
    * @param perSecond requests per second, empty if the response advertises no limit
@@ -699,18 +712,21 @@
   }
 
   /**
-   * Records that an endpoint announces in a response that it is draining, which may arrive before
-   * the update from the control instances.
+   * Records the draining advertised in a response of an endpoint, which may arrive before the
+   * update from the control instances.
    */
-  public void drainAnnounced(EndpointTracker tracker) {
+  public void drainAdvertised(EndpointTracker tracker) {
     if (tracker.conditions().markDraining()) {
       RosterLog.logStateChange(
           tracker.record().withState(EndpointState.DRAINING), "endpoint response");
     }
   }
 
-  /** Records that an endpoint requests a pause, during which this entry sends it no requests. */
-  public void pauseRequested(EndpointTracker tracker, Duration pause) {
+  /**
+   * Records the pause advertised in a response of an endpoint, during which this entry sends it no
+   * requests.
+   */
+  public void pauseAdvertised(EndpointTracker tracker, Duration pause) {
     Instant now = clock.instant();
     boolean alreadyPaused = !tracker.conditions().remainingPause(now).isZero();
     tracker.conditions().pause(pause, now);
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LoadExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/LoadExchange.java
@@ -200,7 +200,8 @@
 
   /**
    * Returns the endpoints without a rate limit, or all of them if each has one. An endpoint with a
-   * rate limit has at most enough capacity for callers of its own region.
+   * rate limit has at most enough capacity for the callers of its own region, and none to offer to
+   * other regions.
    */
   private static List<EndpointTracker> preferUnlimited(List<EndpointTracker> available) {
     List<EndpointTracker> unlimited =
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/OrderRelay.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/OrderRelay.java
@@ -36,7 +36,7 @@
 
   private final Context context;
   private final Vertx vertx;
-  private final String self;
+  private final String selfAddress;
   private final Supplier<RoutingControl> control;
   private final FleetTransport transport;
   private final GatewayMetrics metrics;
@@ -85,14 +85,14 @@
 
   OrderRelay(
       Context context,
-      String self,
+      String selfAddress,
       Supplier<RoutingControl> control,
       FleetTransport transport,
       GatewayMetrics metrics) {
     this.metrics = metrics;
     this.context = context;
     this.vertx = context.owner();
-    this.self = self;
+    this.selfAddress = selfAddress;
     this.control = control;
     this.transport = transport;
   }
@@ -155,7 +155,7 @@
     Future<Outcome> outcome;
     if (leader.isEmpty()) {
       outcome = Future.succeededFuture(Outcome.UNKNOWN);
-    } else if (leader.get().equals(self)) {
+    } else if (leader.get().equals(selfAddress)) {
       outcome = submitLocally(order, order.remainingMillis());
     } else {
       outcome = callLeader(leader.get(), order);
@@ -195,7 +195,12 @@
     transport.send(
         leader,
         new FleetMessage.ControlCall(
-            self, callId, order.kind(), order.version(), order.argument(), order.baseRevision()));
+            selfAddress,
+            callId,
+            order.kind(),
+            order.version(),
+            order.argument(),
+            order.baseRevision()));
     vertx.setTimer(
         Math.max(1, Math.min(order.remainingMillis(), ATTEMPT_TIMEOUT.toMillis())),
         id -> {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PendingCrashProbes.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PendingCrashProbes.java
@@ -15,16 +15,17 @@
  * <p>Thread-safe.
  */
 public final class PendingCrashProbes {
-  private final Map<RequestFingerprint, Future<Boolean>> byContent = new ConcurrentHashMap<>();
+  private final Map<RequestFingerprint, Future<Boolean>> byFingerprint = new ConcurrentHashMap<>();
 
   /** Adds a content that waits for the result of a crash probe. */
-  public void add(RequestFingerprint content, Future<Boolean> result) {
-    byContent.put(content, result);
-    result.onComplete(completed -> byContent.remove(content, result));
+  public void add(RequestFingerprint fingerprint, Future<Boolean> result) {
+    byFingerprint.put(fingerprint, result);
+    result.onComplete(completed -> byFingerprint.remove(fingerprint, result));
   }
 
   /** Returns the probe result that a content waits for, if any. */
-  public Optional<Future<Boolean>> get(RequestFingerprint content) {
-    return Optional.ofNullable(byContent.get(content)).filter(result -> !result.isComplete());
+  public Optional<Future<Boolean>> get(RequestFingerprint fingerprint) {
+    return Optional.ofNullable(byFingerprint.get(fingerprint))
+        .filter(result -> !result.isComplete());
   }
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/PrefixExchange.java
@@ -116,8 +116,9 @@
   /**
    * Requests the list of cached prefixes from each endpoint of the region, once per endpoint. After
    * all entries crash at the same time, the endpoints still cache every prefix, and an entry that
-   * does not know them assumes a long prefill for each request: of 35 long prompts in the first two
-   * seconds, 30 were placed on that assumption, and 41 requests were rejected.
+   * has not received them assumes a long prefill for each request. In one such case, 30 of the 35
+   * long prompts of the first two seconds were placed on that assumption, and 41 requests were
+   * rejected.
    */
   void requestListings() {
     if (!settings.disabledMechanisms().contains(PlacementMechanism.PREFIX_LISTING)) {
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/RequestQuarantine.java
@@ -41,7 +41,7 @@
 
   private final Vertx vertx;
   private final String name;
-  private final String self;
+  private final String selfAddress;
   private final FleetTransport transport;
   private final InstantSource clock;
   private final Supplier<Set<String>> controls;
@@ -71,21 +71,21 @@
    * Creates an empty quarantine.
    *
    * @param name the entry's name
-   * @param self its peer address
+   * @param selfAddress its peer address
    * @param controls returns the control instances that the entry follows
    * @param entries returns the names of all entries
    */
   RequestQuarantine(
       Vertx vertx,
       String name,
-      String self,
+      String selfAddress,
       FleetTransport transport,
       InstantSource clock,
       Supplier<Set<String>> controls,
       Supplier<List<String>> entries) {
     this.vertx = vertx;
     this.name = name;
-    this.self = self;
+    this.selfAddress = selfAddress;
     this.transport = transport;
     this.clock = clock;
     this.controls = controls;
@@ -97,9 +97,9 @@
    * Returns how long a request content remains quarantined, or empty if it may run. A quarantined
    * content may run if a trial of it is due on this entry, which is then recorded.
    */
-  public Optional<Duration> remainingQuarantine(RequestFingerprint content) {
+  public Optional<Duration> remainingQuarantine(RequestFingerprint fingerprint) {
     Instant now = clock.instant();
-    Optional<Suspicion> suspicion = ledger.quarantined(content, now);
+    Optional<Suspicion> suspicion = ledger.quarantined(fingerprint, now);
     if (suspicion.isEmpty()) {
       return Optional.empty();
     }
@@ -107,7 +107,7 @@
       QuarantineLog.logTrial(suspicion.get());
       return Optional.empty();
     }
-    return ledger.remainingQuarantine(content, now);
+    return ledger.remainingQuarantine(fingerprint, now);
   }
 
   /** Returns the number of quarantined request contents. */
@@ -116,11 +116,11 @@
   }
 
   /** Records that an endpoint has completed its response for this request content. */
-  public void completed(RequestFingerprint content) {
+  public void recordCompletion(RequestFingerprint fingerprint) {
     Instant now = clock.instant();
-    completions.record(content, now);
-    if (ledger.quarantined(content, now).isPresent()) {
-      recordAndReport(Suspicion.cleared(content));
+    completions.record(fingerprint, now);
+    if (ledger.quarantined(fingerprint, now).isPresent()) {
+      recordAndReport(Suspicion.cleared(fingerprint));
     }
   }
 
@@ -128,8 +128,8 @@
    * Records that an endpoint closed the connection while it was running this request content. This
    * counts as evidence against the content only if the endpoint turns out to have crashed.
    */
-  public void connectionLost(EndpointTracker endpoint, RequestFingerprint content) {
-    recordIncompleteRun(endpoint.record(), content, IncompleteRuns.Kind.BROKEN_OFF);
+  public void onConnectionLost(EndpointTracker endpoint, RequestFingerprint fingerprint) {
+    recordIncompleteRun(endpoint.record(), fingerprint, IncompleteRuns.Kind.BROKEN_OFF);
     Future<Boolean> result =
         probe
             .hasCrashed(SocketAddresses.parse(endpoint.record().address()))
@@ -139,23 +139,23 @@
                     endpointCrashed(endpoint.record(), endpoint.lastByteAt());
                   }
                 });
-    pendingProbes.add(content, result);
+    pendingProbes.add(fingerprint, result);
   }
 
   /** Returns the crash probe result that a request content must wait for before it may run. */
-  public Optional<Future<Boolean>> pendingCrashProbe(RequestFingerprint content) {
-    return pendingProbes.get(content);
+  public Optional<Future<Boolean>> pendingCrashProbe(RequestFingerprint fingerprint) {
+    return pendingProbes.get(fingerprint);
   }
 
   /** Records that this entry stopped waiting for the response to this request content. */
-  public void abandoned(EndpointRecord endpoint, RequestFingerprint content) {
-    recordIncompleteRun(endpoint, content, IncompleteRuns.Kind.GIVEN_UP);
+  public void abandoned(EndpointRecord endpoint, RequestFingerprint fingerprint) {
+    recordIncompleteRun(endpoint, fingerprint, IncompleteRuns.Kind.GIVEN_UP);
   }
 
   private void recordIncompleteRun(
-      EndpointRecord endpoint, RequestFingerprint content, IncompleteRuns.Kind kind) {
+      EndpointRecord endpoint, RequestFingerprint fingerprint, IncompleteRuns.Kind kind) {
     incompleteRuns
-        .record(endpoint.incarnationId(), content, kind, clock.instant())
+        .record(endpoint.incarnationId(), fingerprint, kind, clock.instant())
         .ifPresent(this::suspect);
   }
 
@@ -203,7 +203,8 @@
 
   private void send(long callId) {
     List<Suspicion> suspicions = unconfirmed.get(callId).agedTo(clock.instant());
-    transport.sendAll(controls.get(), new FleetMessage.SuspicionUpdate(self, callId, suspicions));
+    transport.sendAll(
+        controls.get(), new FleetMessage.SuspicionUpdate(selfAddress, callId, suspicions));
   }
 
   /** Resends the reports that no control instance has confirmed, and removes expired evidence. */
@@ -225,10 +226,10 @@
       ledger
           .merge(suspicion, now)
           .ifPresent(merged -> QuarantineLog.logChange(merged, update.from()));
-      RequestFingerprint content = suspicion.content();
-      if (ledger.quarantined(content, now).isPresent()
-          && completions.isRecentlyCompleted(content, now)) {
-        recordAndReport(Suspicion.cleared(content));
+      RequestFingerprint fingerprint = suspicion.content();
+      if (ledger.quarantined(fingerprint, now).isPresent()
+          && completions.isRecentlyCompleted(fingerprint, now)) {
+        recordAndReport(Suspicion.cleared(fingerprint));
       }
     }
   }
@@ -254,7 +255,7 @@
     List<Suspicion> quarantined =
         ledger.withCrashesOrCleared(Suspicion.QUARANTINE_THRESHOLD, clock.instant());
     if (!quarantined.isEmpty()) {
-      transport.send(pulse.from(), new FleetMessage.SuspicionUpdate(self, 0, quarantined));
+      transport.send(pulse.from(), new FleetMessage.SuspicionUpdate(selfAddress, 0, quarantined));
     }
   }
 }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionExchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/SuspicionExchange.java
@@ -22,7 +22,7 @@
 final class SuspicionExchange {
   private static final System.Logger LOG = System.getLogger(SuspicionExchange.class.getName());
 
-  private final String self;
+  private final String selfAddress;
   private final FleetTransport transport;
   private final InstantSource clock;
   private final Supplier<List<String>> otherControls;
@@ -41,7 +41,7 @@
    */
   SuspicionExchange(
       Vertx vertx,
-      String self,
+      String selfAddress,
       FleetTransport transport,
       InstantSource clock,
       Supplier<List<String>> otherControls,
@@ -49,7 +49,7 @@
       SuspicionStore store) {
     this.vertx = vertx;
     this.store = store;
-    this.self = self;
+    this.selfAddress = selfAddress;
     this.transport = transport;
     this.clock = clock;
     this.otherControls = otherControls;
@@ -121,7 +121,7 @@
 
   private void send(List<String> peers, List<Suspicion> suspicions) {
     if (!suspicions.isEmpty()) {
-      transport.sendAll(peers, new FleetMessage.SuspicionUpdate(self, 0, suspicions));
+      transport.sendAll(peers, new FleetMessage.SuspicionUpdate(selfAddress, 0, suspicions));
     }
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/UpdateAggregator.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/fleet/UpdateAggregator.java
@@ -13,10 +13,10 @@
 import org.lacewingcroft.fleet.FleetMessage.News;
 
 /**
- * The part of a control instance that collects the updates of a region's entries, sends them to all
- * entries of the region, and sends the updates that concern other regions to the aggregators of
- * those regions. It holds no state that must survive a crash: entries report their load again
- * within a second.
+ * The part of a control instance that collects the updates of a region's entries, sends the
+ * collected updates to all entries of the region ({@link FleetMessage.NewsDigest}), and sends the
+ * updates that concern other regions to the aggregators of those regions. It holds no state that
+ * must survive a crash: entries report their load again within a second.
  *
  * <p>Confined to the event loop thread.
  */
@@ -24,39 +24,39 @@
   /** Interval at which the buffers are checked for messages that are due. */
   private static final long TICK_INTERVAL_MILLIS = 40;
 
-  /** Time without updates from a region's entries after which they receive no more digests. */
+  /** Time without updates from a region's entries after which none are sent to them. */
   private static final Duration REGION_TIMEOUT = Duration.ofSeconds(2);
 
   private final FleetTransport transport;
   private final InstantSource clock;
-  private final String self;
+  private final String selfAddress;
   private final Function<String, Collection<String>> entriesOfRegion;
   private final Supplier<Collection<String>> otherControls;
   private final Map<String, ServedRegion> regions = new TreeMap<>();
 
   /** A region whose entries have selected this aggregator. */
   private static final class ServedRegion {
-    private final UpdateBuffer digestBuffer = new UpdateBuffer();
+    private final UpdateBuffer updateBuffer = new UpdateBuffer();
     private final RemoteUpdateBuffer remoteBuffer = new RemoteUpdateBuffer();
     private Instant lastUpdateAt;
   }
 
   /**
-   * Creates the aggregator; {@link #start} begins to send digests.
+   * Creates the aggregator; {@link #start} begins to send collected updates.
    *
-   * @param self this instance's peer address
+   * @param selfAddress this instance's peer address
    * @param entriesOfRegion returns the peer addresses of a region's live entries
    * @param otherControls returns the peer addresses of the other control instances
    */
   UpdateAggregator(
       FleetTransport transport,
       InstantSource clock,
-      String self,
+      String selfAddress,
       Function<String, Collection<String>> entriesOfRegion,
       Supplier<Collection<String>> otherControls) {
     this.transport = transport;
     this.clock = clock;
-    this.self = self;
+    this.selfAddress = selfAddress;
     this.entriesOfRegion = entriesOfRegion;
     this.otherControls = otherControls;
   }
@@ -70,7 +70,7 @@
     Instant now = clock.instant();
     ServedRegion served = regions.computeIfAbsent(message.region(), r -> new ServedRegion());
     served.lastUpdateAt = now;
-    served.digestBuffer.add(message.news(), message.urgent());
+    served.updateBuffer.add(message.news(), message.urgent());
     served.remoteBuffer.add(message.news(), now);
     News forOtherRegions =
         new News(
@@ -90,7 +90,7 @@
     regions.forEach(
         (region, served) -> {
           if (!region.equals(origin)) {
-            served.digestBuffer.add(updates, false);
+            served.updateBuffer.add(updates, false);
           }
         });
   }
@@ -103,12 +103,13 @@
 
   private void sendDue(String region, ServedRegion served, Instant now) {
     served
-        .digestBuffer
+        .updateBuffer
         .drainIfDue(now)
         .ifPresent(
             updates ->
                 transport.sendAll(
-                    entriesOfRegion.apply(region), new FleetMessage.NewsDigest(self, updates)));
+                    entriesOfRegion.apply(region),
+                    new FleetMessage.NewsDigest(selfAddress, updates)));
     served
         .remoteBuffer
         .drainIfDue(now)
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/AdvertisedConditionsReader.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/AdvertisedConditionsReader.java
@@ -34,11 +34,11 @@
   void read(EndpointTracker endpoint, int status, HttpClientResponse response, Instant sentAt) {
     readRateLimit(endpoint, status, response, sentAt);
     if (DRAINING.equals(response.getHeader(headerNames.draining()))) {
-      node.drainAnnounced(endpoint);
+      node.drainAdvertised(endpoint);
     }
     if (status == UNAVAILABLE || status == TOO_MANY_REQUESTS) {
       RetryAfter.parse(response.getHeader(RetryAfter.HEADER))
-          .ifPresent(pause -> node.pauseRequested(endpoint, pause));
+          .ifPresent(pause -> node.pauseAdvertised(endpoint, pause));
     }
   }
 
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/forward/ForwardCall.java
@@ -80,7 +80,7 @@
   private Optional<UpstreamAttempt> currentAttempt = Optional.empty();
   private int sends;
   private int runs;
-  private int refusalCount;
+  private int totalRefusalCount;
   private boolean mayHaveRun;
   private boolean streaming;
   private boolean done;
@@ -359,11 +359,14 @@
     private Optional<EventSplitter> eventSplitter = Optional.empty();
     private Buffer body = Buffer.buffer();
 
-    /** What kind of target refused to run the request, empty if the target ran it. */
+    /**
+     * The kind of target, "endpoint" or "entry", if the response states that the request was not
+     * run; empty if it does not state this or has not arrived.
+     */
     private String refuser = "";
 
     /** Number of endpoints that refused the request in this attempt. */
-    private int refusalCount;
+    private int attemptRefusalCount;
 
     private Attempt(UpstreamTarget target) {
       upstream = new UpstreamAttempt(target, context.headerNames(), context.clock(), this);
@@ -387,7 +390,7 @@
       headers =
           ForwardRequest.endToEndHeaders(upstreamResponse.headers(), ForwardContext.RELAY_HEADERS);
       refuser = refuserOf(upstreamResponse);
-      refusalCount = refusalCountOf(upstreamResponse);
+      attemptRefusalCount = refusalCountOf(upstreamResponse);
       String echoedId = upstreamResponse.getHeader(context.headerNames().requestId());
       boolean success = status >= OK && status < MULTIPLE_CHOICES;
       if (echoedId != null && !echoedId.equals(request.id())) {
@@ -423,7 +426,11 @@
       }
     }
 
-    /** Returns what kind of target refused to run the request, empty if the target ran it. */
+    /**
+     * Returns the kind of target, "endpoint" or "entry", if the response states that the request
+     * was not run: by the not-run header or, from an endpoint, also by status 421. Returns an empty
+     * string for any other response.
+     */
     private String refuserOf(HttpClientResponse upstreamResponse) {
       if (upstream.target().entry().isPresent()) {
         return upstreamResponse.getHeader(CallerResponse.NOT_RUN_HEADER) != null ? "entry" : "";
@@ -492,7 +499,7 @@
           recordFinished(ForwardContext.SERVED, status);
         }
       } else if (!refuser.isEmpty()) {
-        handleRefusal(upstream, status, refuser, refusalCount);
+        handleRefusal(upstream, status, refuser, attemptRefusalCount);
       } else {
         completeBuffered();
       }
@@ -557,7 +564,7 @@
     attempt
         .target()
         .endpoint()
-        .ifPresent(e -> context.node().quarantine().connectionLost(e, request.fingerprint()));
+        .ifPresent(e -> context.node().quarantine().onConnectionLost(e, request.fingerprint()));
   }
 
   /** Records that an endpoint has prefilled the prompt, so that it caches the prompt's prefixes. */
@@ -580,7 +587,7 @@
   private void recordServed(UpstreamAttempt attempt, int status) {
     servedBy = attempt.target().name();
     if (attempt.target().endpoint().isPresent() && status < SERVER_ERROR) {
-      context.node().quarantine().completed(request.fingerprint());
+      context.node().quarantine().recordCompletion(request.fingerprint());
     }
   }
 
@@ -600,7 +607,7 @@
    * @param newRefusals how many endpoints refused it; if any did, the next send is an extra send
    */
   private void handleRefusal(UpstreamAttempt attempt, int status, String refuser, int newRefusals) {
-    refusalCount += newRefusals;
+    totalRefusalCount += newRefusals;
     recordAttemptFailure(attempt, "refused", refuser + " responded with " + status);
     attempt
         .target()
@@ -729,7 +736,7 @@
       return;
     }
     boolean notRun = !mayHaveRun && NOT_RUN_STATUSES.contains(status);
-    response.setRefusalCount(refusalCount);
+    response.setRefusalCount(totalRefusalCount);
     response.sendError(status, reason, notRun, retryAfter);
     recordFinished(reason, status);
   }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/CallerReply.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/CallerReply.java
@@ -61,7 +61,7 @@
     sendNotRun(
         exchange,
         ErrorKind.CONTENT_QUARANTINED,
-        "several endpoints broke off while they had the content " + exchange.content());
+        "several endpoints broke off while they had the content " + exchange.fingerprint());
   }
 
   /**
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ContentQuarantine.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ContentQuarantine.java
@@ -47,13 +47,13 @@
   }
 
   /** Returns how long request content remains quarantined; empty if it may run. */
-  synchronized Optional<Duration> remainingQuarantine(RequestFingerprint content) {
-    return ledger.remainingQuarantine(content, clock.instant());
+  synchronized Optional<Duration> remainingQuarantine(RequestFingerprint fingerprint) {
+    return ledger.remainingQuarantine(fingerprint, clock.instant());
   }
 
   /** Records that an endpoint has returned a complete response to a request with the content. */
-  synchronized void recordCompletion(RequestFingerprint content) {
-    completions.record(content, clock.instant());
+  synchronized void recordCompletion(RequestFingerprint fingerprint) {
+    completions.record(fingerprint, clock.instant());
   }
 
   /**
@@ -61,7 +61,7 @@
    * the content. This counts against the content only if a probe finds that the endpoint has
    * crashed.
    */
-  void onConnectionLost(String endpoint, RequestFingerprint content) {
+  void onConnectionLost(String endpoint, RequestFingerprint fingerprint) {
     Instant lostAt = clock.instant();
     Future<Boolean> probeResult =
         addressOf(endpoint)
@@ -70,15 +70,15 @@
             .onSuccess(
                 crashed -> {
                   if (crashed) {
-                    onCrash(endpoint, content, lostAt);
+                    onCrash(endpoint, fingerprint, lostAt);
                   }
                 });
-    pendingProbes.add(content, probeResult);
+    pendingProbes.add(fingerprint, probeResult);
   }
 
   /** Returns the crash probe that must complete before the content may be run, if there is one. */
-  Optional<Future<Boolean>> pendingProbe(RequestFingerprint content) {
-    return pendingProbes.get(content);
+  Optional<Future<Boolean>> pendingCrashProbe(RequestFingerprint fingerprint) {
+    return pendingProbes.get(fingerprint);
   }
 
   private Optional<SocketAddress> addressOf(String endpoint) {
@@ -90,9 +90,9 @@
         .map(url -> SocketAddress.inetSocketAddress(url.getPort(), url.getHost()));
   }
 
-  private void onCrash(String endpoint, RequestFingerprint content, Instant lostAt) {
+  private void onCrash(String endpoint, RequestFingerprint fingerprint, Instant lostAt) {
     Duration age = Duration.between(lostAt, clock.instant());
-    Suspicion suspicion = Suspicion.of(content, new EndpointCrash(endpoint, age, false));
+    Suspicion suspicion = Suspicion.of(fingerprint, new EndpointCrash(endpoint, age, false));
     if (recordSuspicion(suspicion)) {
       publish(suspicion);
     }
@@ -120,18 +120,18 @@
    *
    * @return whether the content was quarantined
    */
-  boolean lift(RequestFingerprint content) {
-    boolean lifted = clear(content, "lifted by an operator");
+  boolean lift(RequestFingerprint fingerprint) {
+    boolean lifted = clear(fingerprint, "lifted by an operator");
     if (lifted) {
-      publish(Suspicion.cleared(content));
+      publish(Suspicion.cleared(fingerprint));
     }
     return lifted;
   }
 
-  private synchronized boolean clear(RequestFingerprint content, String cause) {
+  private synchronized boolean clear(RequestFingerprint fingerprint, String cause) {
     Instant now = clock.instant();
-    return ledger.quarantined(content, now).isPresent()
-        && merge(Suspicion.cleared(content), cause, now);
+    return ledger.quarantined(fingerprint, now).isPresent()
+        && merge(Suspicion.cleared(fingerprint), cause, now);
   }
 
   /**
@@ -157,8 +157,8 @@
     List<Suspicion> cleared =
         changed.stream()
             .map(Suspicion::content)
-            .filter(content -> completions.isRecentlyCompleted(content, now))
-            .filter(content -> clear(content, "completed here"))
+            .filter(fingerprint -> completions.isRecentlyCompleted(fingerprint, now))
+            .filter(fingerprint -> clear(fingerprint, "completed here"))
             .map(Suspicion::cleared)
             .toList();
     changed.addAll(cleared);
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/Dispatcher.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/Dispatcher.java
@@ -104,15 +104,17 @@
   }
 
   private void send(Exchange exchange) {
+    // A request with a claimed key continues without its caller, so that its response is recorded
+    // and a repetition with the same key receives it.
     if (exchange.refused() || exchange.responseCommitted() && exchange.claimedKey().isEmpty()) {
       return;
     }
-    Optional<Future<Boolean>> pendingProbe = quarantine.pendingProbe(exchange.content());
+    Optional<Future<Boolean>> pendingProbe = quarantine.pendingCrashProbe(exchange.fingerprint());
     if (pendingProbe.isPresent()) {
       pendingProbe.get().onComplete(done -> send(exchange));
       return;
     }
-    Optional<Duration> quarantined = quarantine.remainingQuarantine(exchange.content());
+    Optional<Duration> quarantined = quarantine.remainingQuarantine(exchange.fingerprint());
     if (quarantined.isPresent()) {
       if (!exchange.hasLiveAttempt()) {
         reply.sendQuarantined(exchange, quarantined.get());
@@ -128,7 +130,7 @@
         reply.sendNotRun(exchange, refuse.kind(), refuse.detail());
       }
     } else if (decision instanceof RouteDecision.Forward forward) {
-      forwardToRegion(exchange, forward.region());
+      relayToRegion(exchange, forward.region());
     } else if (decision instanceof RouteDecision.Serve serve) {
       sendToEndpoint(exchange, serve.candidate().endpoint(), serve.rule());
     }
@@ -244,7 +246,7 @@
 
   private void onRequestFailure(Exchange exchange, Attempt attempt, Throwable e) {
     if (attempt.live() && attempt.toEndpoint() && !(e instanceof TimeoutException)) {
-      quarantine.onConnectionLost(attempt.target(), exchange.content());
+      quarantine.onConnectionLost(attempt.target(), exchange.fingerprint());
     }
     handleFailureAfterSend(exchange, attempt, String.valueOf(e.getMessage()));
   }
@@ -286,6 +288,7 @@
 
   private void onResponse(
       Exchange exchange, Attempt attempt, HttpClientRequest upstream, HttpClientResponse response) {
+    // With a claimed key, the response is recorded even if it can no longer be sent to the caller.
     if (!attempt.live() || exchange.responseCommitted() && exchange.claimedKey().isEmpty()) {
       attempt.cancel();
       return;
@@ -340,7 +343,7 @@
     return true;
   }
 
-  private void forwardToRegion(Exchange exchange, String targetRegion) {
+  private void relayToRegion(Exchange exchange, String targetRegion) {
     List<Member> entries =
         membership.table().alive(MemberInfo.ENTRY, targetRegion, clock.instant());
     if (entries.isEmpty()) {
@@ -349,14 +352,14 @@
     }
     Member target = entries.get(Math.floorMod(exchange.requestId().hashCode(), entries.size()));
     metrics.requests.labelValues("forwarded").inc();
-    sendToEntry(exchange, target, HopAuthenticator.Hop.ACROSS_REGIONS);
+    relayToEntry(exchange, target, HopAuthenticator.Hop.ACROSS_REGIONS);
   }
 
   /**
    * Sends a request to another entry, marked so that the receiver does not relay it by the same
    * kind of hop again.
    */
-  void sendToEntry(Exchange exchange, Member target, HopAuthenticator.Hop hop) {
+  void relayToEntry(Exchange exchange, Member target, HopAuthenticator.Hop hop) {
     Attempt.Kind kind =
         hop == HopAuthenticator.Hop.TO_OWNER ? Attempt.Kind.KEY_OWNER : Attempt.Kind.OTHER_REGION;
     Attempt attempt = beginAttempt(exchange, target.info().nodeId(), target.info().region(), kind);
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/EntryGateway.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/EntryGateway.java
@@ -288,7 +288,7 @@
     }
     Optional<Member> owner = keys.remoteOwner(key.get());
     if (owner.isPresent() && exchange.hop() == HopAuthenticator.Hop.NONE) {
-      dispatcher.sendToEntry(exchange, owner.get(), HopAuthenticator.Hop.TO_OWNER);
+      dispatcher.relayToEntry(exchange, owner.get(), HopAuthenticator.Hop.TO_OWNER);
     } else {
       claim(exchange, key.get());
     }
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/Exchange.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/Exchange.java
@@ -22,7 +22,7 @@
   private final CallerRequest request;
   private final String requestId;
   private final HopAuthenticator.Hop hop;
-  private final RequestFingerprint content;
+  private final RequestFingerprint fingerprint;
   private final Instant deadline;
   private final long startNanos = System.nanoTime();
   private final Set<String> excludedTargets = new HashSet<>();
@@ -43,7 +43,7 @@
     this.request = request;
     this.requestId = requestId;
     this.hop = hop;
-    this.content = request.fingerprint();
+    this.fingerprint = request.fingerprint();
     this.deadline = now.plus(request.timeout());
   }
 
@@ -56,8 +56,8 @@
   }
 
   /** Returns the fingerprint of the request's content, the same for every resend. */
-  RequestFingerprint content() {
-    return content;
+  RequestFingerprint fingerprint() {
+    return fingerprint;
   }
 
   String requestId() {
@@ -83,8 +83,9 @@
   }
 
   /**
-   * Returns the endpoints (by id) and regions excluded for this request, because an attempt there
-   * failed or, for a hedge, is still in progress. The set is mutable.
+   * Returns the ids of the endpoints and the names of the regions that are excluded for this
+   * request, because an attempt there failed or, for a hedge, is still in progress. The set is
+   * mutable and holds both kinds of names.
    */
   Set<String> excludedTargets() {
     return excludedTargets;
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/KeyOwnership.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/KeyOwnership.java
@@ -24,12 +24,12 @@
 /**
  * Ensures that a request with an idempotency key is run at most once by the entries of a region.
  *
- * <p>A key's owner is the first live entry in the rendezvous order of the key; its replicas are the
- * first {@link #REPLICAS} known entries. The source of the assignment of keys to peers is the paper
- * PAPER-telegramme-peer-layer-4b8c. Before a request is run, its key is claimed at every replica. A
- * replica that already holds a record of the key denies the claim and returns the record, so that
- * neither an owner that restarted with an empty table nor two daemons that both act as the owner
- * can run a key again.
+ * <p>Keys are assigned to entries by rendezvous hashing: a key's owner is the first live entry in
+ * the rendezvous order of the key; its replicas are the first {@link #REPLICAS} known entries.
+ * Before a request is run, its key is claimed at every replica. A replica that already holds a
+ * record of the key denies the claim and returns the record, so that neither an owner that
+ * restarted with an empty table nor two daemons that both act as the owner can run a key again
+ * (source of the assignment: PAPER-telegramme-peer-layer-4b8c).
  *
  * <p>An entry that has just started has not discovered its peers and claims no key until membership
  * has converged. While a replica does not reply, and until membership removes it, claims remain
@@ -71,11 +71,11 @@
       }
     }
 
-    synchronized void onDenied(IdempotencyTable.Entry held) {
-      if (admission.tryComplete(admissionFor(held))) {
+    synchronized void onDenied(IdempotencyTable.Entry record) {
+      if (admission.tryComplete(admissionFor(record))) {
         release(key);
-        if (held.state() != IdempotencyTable.State.RUNNING) {
-          table.merge(held, clock.instant());
+        if (record.state() != IdempotencyTable.State.RUNNING) {
+          table.merge(record, clock.instant());
         }
       }
     }
@@ -116,9 +116,9 @@
       return Future.succeededFuture(
           new KeyAdmission.Unconfirmed("this entry is still meeting its region's entries"));
     }
-    Optional<IdempotencyTable.Entry> held = table.claim(key, self, clock.instant());
-    if (held.isPresent()) {
-      return Future.succeededFuture(admissionFor(held.get()));
+    Optional<IdempotencyTable.Entry> existingRecord = table.claim(key, self, clock.instant());
+    if (existingRecord.isPresent()) {
+      return Future.succeededFuture(admissionFor(existingRecord.get()));
     }
     List<MemberInfo> replicas = otherReplicas(key);
     if (replicas.isEmpty()) {
@@ -143,12 +143,12 @@
             });
   }
 
-  private KeyAdmission admissionFor(IdempotencyTable.Entry held) {
-    return switch (held.state()) {
-      case DONE -> new KeyAdmission.Replay(held);
+  private KeyAdmission admissionFor(IdempotencyTable.Entry record) {
+    return switch (record.state()) {
+      case DONE -> new KeyAdmission.Replay(record);
       case UNKNOWN -> new KeyAdmission.OutcomeUnknown();
       default ->
-          isClaimantAlive(held.claimant())
+          isClaimantAlive(record.claimant())
               ? new KeyAdmission.InProgress()
               : new KeyAdmission.OutcomeUnknown();
     };
@@ -185,8 +185,8 @@
     replicate(table.markUnknown(key, self, clock.instant()));
   }
 
-  private void replicate(IdempotencyTable.Entry entry) {
-    sendToReplicas(entry.key(), new PeerMessage.IdempotencyRecord(entry));
+  private void replicate(IdempotencyTable.Entry record) {
+    sendToReplicas(record.key(), new PeerMessage.IdempotencyRecord(record));
   }
 
   private void sendToReplicas(String key, PeerMessage message) {
@@ -219,10 +219,11 @@
     } else if (message instanceof PeerMessage.KeyRelease release) {
       table.release(release.key(), release.claimant());
     } else if (message instanceof PeerMessage.KeyClaim claim) {
-      Optional<IdempotencyTable.Entry> held =
+      Optional<IdempotencyTable.Entry> existingRecord =
           table.grant(claim.key(), claim.claimant(), clock.instant());
       membership.send(
-          claim.replyTo(), new PeerMessage.KeyClaimReply(claim.callId(), self.nodeId(), held));
+          claim.replyTo(),
+          new PeerMessage.KeyClaimReply(claim.callId(), self.nodeId(), existingRecord));
     } else if (message instanceof PeerMessage.KeyClaimReply reply) {
       Optional.ofNullable(pendingClaims.get(reply.callId()))
           .ifPresent(
--- a/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ResponseRelay.java
+++ b/lacewingcroft-daemon/src/main/java/org/lacewingcroft/gateway/ResponseRelay.java
@@ -110,7 +110,7 @@
   private void onConnectionLost() {
     if (attempt.end()) {
       if (attempt.toEndpoint()) {
-        quarantine.onConnectionLost(attempt.target(), exchange.content());
+        quarantine.onConnectionLost(attempt.target(), exchange.fingerprint());
       }
       reply.sendOutcomeUnknown(exchange, "the answer broke off in the middle");
     }
@@ -121,7 +121,7 @@
       return;
     }
     if (attempt.toEndpoint() && upstreamResponse.statusCode() < SERVER_ERROR) {
-      quarantine.recordCompletion(exchange.content());
+      quarantine.recordCompletion(exchange.fingerprint());
     }
     exchange.claimedKey().ifPresent(this::recordResponse);
     if (!exchange.callerDisconnected() && !exchange.response().ended()) {
--- a/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/CrashingRequestTest.java
+++ b/lacewingcroft-daemon/src/test/java/org/lacewingcroft/forward/CrashingRequestTest.java
@@ -35,16 +35,17 @@
 
 /**
  * Checks that content that crashes endpoints is quarantined. The same request arrives repeatedly
- * under new ids at any entry, and each engine that starts to run it crashes, together with all
- * other requests that it runs (9 to 16). Entries that attribute a crash to the engine only, and
- * retain nothing about a request after its call, place each arrival again and even send idempotent
- * requests to a second engine: in a deployment of nine engines, eight to eleven crashes occurred
- * within twelve seconds, on three occasions.
+ * under new ids at any entry, and each endpoint that starts to run it crashes, which fails all
+ * other requests that the endpoint runs (9 to 16). Entries that attribute a crash to the endpoint
+ * only, and retain nothing about a request after its call, place each arrival again and even send
+ * idempotent requests to a second endpoint: in a deployment of nine endpoints, eight to eleven
+ * crashes occurred within twelve seconds, on three occasions.
  *
- * <p>The cause is the content, not load: the engines were warm and ran 9, 13 and 16 of 32 possible
- * requests, and all 38 requests that were lost with three of them were on their first attempt. The
- * fingerprints in the log distinguish this from random crashes: random crashes interrupt each
- * content at one endpoint, whereas here a single content is interrupted at all endpoints:
+ * <p>The cause is the content, not load: the endpoints were warm and ran 9, 13 and 16 of 32
+ * possible requests, and all 38 requests that were lost when three of the endpoints crashed were on
+ * their first attempt. The fingerprints in the log distinguish this from random crashes: random
+ * crashes interrupt each content at one endpoint, whereas here a single content is interrupted at
+ * all endpoints:
  *
  * <pre>
  * request.try_failed fingerprint f02f18840fe4537e target once-i1 what broken cold false running 0
--- a/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/AggregatorSelector.java
+++ b/lacewingcroft-kernel/src/main/java/org/lacewingcroft/fleet/AggregatorSelector.java
@@ -60,8 +60,8 @@
     this.region = region;
   }
 
-  /** Records a heartbeat of a control instance. */
-  public void onHeartbeat(String address, String controlRegion, Instant now) {
+  /** Records a heartbeat reply (ControlPulse) of a control instance. */
+  public void onControlPulse(String address, String controlRegion, Instant now) {
     Candidate candidate = candidates.computeIfAbsent(address, a -> new Candidate());
     candidate.region = controlRegion;
     candidate.lastHeartbeatAt = now;
